--- a/include/chivefold/sidecar/backend_service.h
+++ b/include/chivefold/sidecar/backend_service.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The backend server beside this daemon: its reports and the work it gets.
+ * Tracks the backend server on this host and forwards calls to it.
  */
 #ifndef CHIVEFOLD_SIDECAR_BACKEND_SERVICE_H
 #define CHIVEFOLD_SIDECAR_BACKEND_SERVICE_H
@@ -25,7 +25,7 @@
 /** Identifies a call at the backend service; 0 is never used. */
 using BackendCallId = GateRequestId;
 
-/** What a backend service works with; all outlive it. */
+/** Dependencies of BackendService; all must outlive it. */
 struct BackendParts {
   const PlatformPorts &Ports;
   const OperatorState &Orders;
@@ -33,89 +33,95 @@
   PoisonService &Poison;
 };
 
-/** Where the server is. */
+/** Location of the backend server and of its host. */
 struct BackendPlace {
   Address Server;
-  /** Address of this daemon, which names the host among peers. */
+  /** Address of this daemon, which identifies the host to peers. */
   Address Host;
   std::string DataCentre;
 };
 
 /**
- * Passes calls to the backend server of this host, and only to the start of it
- * that last reported itself. The gate bounds what the server gets. Used on the
- * reactor's thread only.
+ * Forwards calls to the backend server of this host, and only to the server
+ * instance that reported last. The gate limits concurrent calls to the server.
+ * Used on the reactor's thread only.
  */
 class BackendService {
 public:
-  /** Starts of servers that ended, whose late reports are ignored. */
+  /** Maximum number of ended server instances to remember; late reports from
+   * them are ignored. */
   static constexpr std::size_t MaxEnded = 64;
-  /** Calls in a row without an answer after which the server is taken as gone
-   * until it reports again. */
+  /** Consecutive unanswered calls after which the server is considered
+   * unresponsive until its next report. */
   static constexpr std::uint32_t MaxSilentCalls = 3;
-  /** A server that answered a call so recently lives, however many answers are
-   * lost: several times the usual time of service. */
+  /** A server that answered a call within this time is considered alive,
+   * however many answers are lost. Several times the usual service time. */
   static constexpr Duration AliveFor = std::chrono::milliseconds(500);
-  /** An idle connection used before this time is not reused for a request that
-   * may run at most once: the server may have closed it already. */
+  /** A connection that has been idle for longer is not reused for a request
+   * that may run at most once: the server may have closed it already. */
   static constexpr Duration FreshFor = std::chrono::seconds(2);
 
-  /** A server with an earlier start time is taken for the successor of one that
-   * was silent for so long, if it has reported itself for so long: more than
-   * two and one of the intervals in which servers report. */
+  /** A server whose stated start time is earlier than that of the current one
+   * replaces it only if the current one has not reported for this time, which
+   * exceeds two report intervals. */
   static constexpr Duration SilentFor = std::chrono::milliseconds(3500);
+  /** The replacement must also have been reporting for this time, at least one
+   * report interval. */
   static constexpr Duration StaysFor = std::chrono::milliseconds(1000);
-  /** Requests that were interrupted and whose server may have crashed. */
+  /** Maximum number of interrupted requests kept as possible causes of a
+   * crash. */
   static constexpr std::size_t MaxInterrupted = 256;
   /** A server that answers this long after requests were interrupted has not
-   * crashed; answers that had arrived before are handled by then. */
+   * crashed: answers received before the interruption are processed by then. */
   static constexpr Duration CrashGrace = std::chrono::milliseconds(50);
-  /** A server that crashed is back after some seconds; a later start says
-   * nothing of requests that were interrupted before. */
+  /** A new instance that reports within this time of an interruption means that
+   * the previous one crashed. A crashed server restarts within seconds, so a
+   * later start has another cause. */
   static constexpr Duration CrashMemory = std::chrono::seconds(15);
 
-  /** @param changed runs when the state of the server changed. The references
-   * outlive this object. */
+  /** @param changed called when the state of the server has changed. The
+   * references must outlive this object. */
   BackendService(Reactor &reactor, HttpClient &client,
                  const BackendParts &parts, BackendPlace place,
                  std::function<void()> changed);
 
-  /** Takes a report. @return InvalidRecord if it is of another host's server,
-   * Conflict if a newer start or report is known. */
+  /** Applies a report. @return InvalidRecord if the server runs on another
+   * host, Conflict if the report is outdated or its instance has ended. */
   Status report(const ServerReport &report);
 
-  /** The server leaves. @return NotFound if it is not the present one. */
+  /** Records that the server instance has shut down. @return NotFound if
+   * @p instance is not the current one. */
   Status leave(const std::string &instance);
 
-  /** The daemon stops: no new work, running calls end. */
+  /** Stops accepting calls before the daemon stops; running calls finish. */
   void startLeaving();
 
-  /** The operator's orders changed. */
+  /** Re-evaluates the gate after the operator's orders have changed. */
   void ordersChanged();
 
-  /** @return whether the caller still waits; asked before a call that had to
-   * wait is run, and may cancel it. */
+  /** @return whether the caller still waits for the answer. Checked before a
+   * queued call is started; the callback may cancel the call. */
   using StillWanted = std::function<bool()>;
 
-  /** Runs a call; @p reply runs once unless the call is cancelled, and may run
-   * before this returns. */
+  /** Runs or queues a call. @p reply is called exactly once unless the call is
+   * cancelled, possibly before this function returns. */
   BackendCallId run(CallMessage call, CallReply reply,
                     StillWanted stillWanted = {});
   bool isOpen(BackendCallId id) const { return Calls.count(id) > 0; }
-  /** Ends a call: one that waits is dropped, one that runs is aborted. */
+  /** Cancels a call: a queued call is dropped, a running one is aborted. */
   void cancel(BackendCallId id);
 
-  /** Takes note of requests of this host that were not answered, some of which
-   * the server made. */
+  /** @return the record of requests from this host that failed. The backend
+   * server may have made some of them, which can explain its own errors. */
   RefusedCalls &refusedCalls() { return Refused; }
 
   const BackendServerState &server() const { return Server; }
   GateState gate() const { return Gate.state(Loop.now()); }
   std::size_t openCalls() const { return Calls.size(); }
 
-  /** @return counts of the present server's version by route. */
+  /** @return call counts by route for the server's current version. */
   std::vector<KindCounts> counts() const;
-  /** @return the version that counts() is about. */
+  /** @return the version that counts() refers to. */
   const std::string &countedVersion() const { return CountedVersion; }
 
 private:
@@ -159,7 +165,7 @@
   std::string DataCentre;
   std::function<void()> Changed;
 
-  /** One start of a server. */
+  /** Identifies one run of a server process. */
   struct Start {
     std::string Instance;
     std::optional<std::int64_t> StartedAtMs;
@@ -172,13 +178,13 @@
   std::optional<std::int64_t> StartedAtMs;
   std::uint64_t Sequence = 0;
   TimePoint ReportedAt{};
-  /** A server with an earlier start time that reports itself. */
+  /** Reporting server with an earlier start time than the current one. */
   Start Successor;
   std::uint64_t SuccessorSequence = 0;
   TimePoint SuccessorSince{};
-  /** The server is cold until then, by its last report. */
+  /** End of the warm-up period, according to the last report. */
   TimePoint ColdUntil{};
-  /** Connections fail; nothing is sent until the next report. */
+  /** The server does not respond; no calls are sent until its next report. */
   bool Suspect = false;
   bool Leaving = false;
   std::uint32_t SilentCalls = 0;
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-/** Routes counted for rollouts; further ones are not. */
+/** Maximum number of routes with call counts; further routes are not counted.
+ */
 constexpr std::size_t MaxCountedRoutes = 256;
-/** Time after the deadline in which the server's own answer is awaited. */
+/** Time after the deadline during which the server's answer is still accepted.
+ */
 constexpr Duration AnswerGrace = std::chrono::milliseconds(20);
-/** A cold server is slower by about this factor, which says nothing of its
- * version. */
+/** A cold server is slower by about this factor. Latencies are divided by it so
+ * that warm-up does not count against the version. */
 constexpr std::uint64_t ColdSlowdown = 2;
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
@@ -30,21 +32,23 @@
 
 Status BackendService::report(const ServerReport &report) {
   if (report.Server.Ip != Upstream.Ip) {
-    return Reason{ErrorCode::InvalidRecord, "a server of another host"};
+    return Reason{ErrorCode::InvalidRecord,
+                  "report from a server on another host"};
   }
   const Start start{report.State.Instance, report.StartedAtMs};
   if (std::find(EndedStarts.begin(), EndedStarts.end(), start) !=
       EndedStarts.end()) {
-    return Reason{ErrorCode::Conflict, "the server has ended"};
+    return Reason{ErrorCode::Conflict, "the reported instance has ended"};
   }
   const bool older =
       StartedAtMs && report.StartedAtMs && *report.StartedAtMs < *StartedAtMs;
   if (older && !replacesSilent(report)) {
-    return Reason{ErrorCode::Conflict, "a newer start is known"};
+    return Reason{ErrorCode::Conflict, "a newer instance has already reported"};
   }
   const bool sameStart = start == Start{Server.Instance, StartedAtMs};
   if (sameStart && report.Sequence <= Sequence) {
-    return Reason{ErrorCode::Conflict, "a newer report is known"};
+    return Reason{ErrorCode::Conflict, "a report with the same or a higher "
+                                       "sequence number was already received"};
   }
   if (!sameStart) {
     takeStart(report);
@@ -62,7 +66,7 @@
                        Server.Version != report.State.Version;
   Server = report.State;
   if (changed) {
-    Lines.info("the server reported a new state",
+    Lines.info("backend server state changed",
                {{"instance", Server.Instance},
                 {"service", Server.Service},
                 {"version", Server.Version},
@@ -75,9 +79,10 @@
   return Done{};
 }
 
-// A server that started after the clock of its host went back states an earlier
-// time than its predecessor. Late reports of an ended server are few and come
-// while the present one reports.
+// After a backward step of the host's clock, a new server states an earlier
+// start time than its predecessor. Late reports from an ended server also state
+// an earlier time, but they are few and arrive while the current server is
+// still reporting.
 bool BackendService::replacesSilent(const ServerReport &report) {
   const auto now = Loop.now();
   const Start start{report.State.Instance, report.StartedAtMs};
@@ -93,7 +98,8 @@
          now >= SuccessorSince + StaysFor;
 }
 
-// Another start of a server has the address: what was known is void.
+// A new server instance runs at the address: discards the state of the previous
+// one.
 void BackendService::takeStart(const ServerReport &report) {
   if (Loop.now() < InterruptedAt + CrashMemory) {
     reportCrash();
@@ -121,9 +127,9 @@
 
 Status BackendService::leave(const std::string &instance) {
   if (instance != Server.Instance) {
-    return Reason{ErrorCode::NotFound, "not the present server"};
+    return Reason{ErrorCode::NotFound, "the instance is not the current one"};
   }
-  Lines.info("the server left", {{"instance", instance}});
+  Lines.info("backend server shut down", {{"instance", instance}});
   endPresent();
   updateGate();
   Changed();
@@ -138,7 +144,7 @@
 void BackendService::ordersChanged() { updateGate(); }
 
 void BackendService::updateGate() {
-  // Without the configuration it is not known what a cold server bears.
+  // The configuration states the request rate allowed for a cold server.
   const auto *service =
       Orders.routes() ? Orders.routes()->service(Server.Service) : nullptr;
   const bool takesWork = Server.Phase == ServerPhase::Ready && !Suspect &&
@@ -150,7 +156,7 @@
   }
   Gate.setCold(service->ColdRate, ColdUntil);
   Gate.open(Server.Slots, service->MaxConnections);
-  // One connection a running call, and a few that are closing.
+  // One connection per running call, and a few that are being closed.
   Client.setMaxConnections(Server.Slots + std::max(Server.Slots / 4, 2U));
   runWaiting();
 }
@@ -224,8 +230,8 @@
   if (!call.Message.Repeatable) {
     http.ReuseUsedSince = now - FreshFor;
   }
-  // An answer that names no request may be a late one to an earlier request of
-  // its connection.
+  // An answer without a request ID is accepted only as the first one on its
+  // connection; otherwise it may be a late answer to an earlier request.
   http.Accepts = [this, wanted = call.Message.RequestId](const auto &r,
                                                          bool isFirst) {
     const auto got = Ports.Requests.readServer(r).RequestId;
@@ -239,7 +245,7 @@
 CallResult BackendService::resultOf(const Call &call, HttpOutcome &outcome) {
   if (!outcome.Response) {
     const auto code = outcome.Response.reason().Code;
-    Lines.info("a call got no answer",
+    Lines.info("backend call failed without an answer",
                {{"request", call.Message.RequestId},
                 {"instance", Server.Instance},
                 {"reason", outcome.Response.reason().Message},
@@ -295,8 +301,9 @@
   }
 }
 
-// A broken connection alone says nothing: the server may live and lose single
-// answers. What was interrupted is reported once the server is seen to be gone.
+// A broken connection alone does not prove a crash: a live server can lose
+// single answers. Interrupted requests are reported once the server is found to
+// be down.
 void BackendService::noteInterruption(const Call &call,
                                       const CallResult &result) {
   const auto now = Loop.now();
@@ -322,14 +329,14 @@
   Interrupted.clear();
 }
 
-// Takes the server as gone; its next report proves that it lives.
+// Considers the server unresponsive until its next report.
 void BackendService::noteSilence() {
   if (Suspect || Server.Phase != ServerPhase::Ready) {
     return;
   }
   Suspect = true;
   Lines.warn(
-      "the server does not answer",
+      "backend server unresponsive; no calls until its next report",
       {{"instance", Server.Instance}, {"calls", std::uint64_t{SilentCalls}}});
   updateGate();
   Changed();
@@ -388,7 +395,7 @@
   runWaiting();
 }
 
-// Ends calls that waited and were certainly not run.
+// Refuses queued calls, none of which has been sent to the server.
 void BackendService::drop(const std::vector<GateRequestId> &ids,
                           ErrorCode code) {
   for (const auto id : ids) {
--- a/tests/unit/backend_service_test.cpp
+++ b/tests/unit/backend_service_test.cpp
@@ -63,8 +63,8 @@
 
 } // namespace
 
-// Guards against a cold server that is sent its full load because its report
-// came before the configuration, which states what it bears.
+// Guards against sending full load to a cold server whose report arrived before
+// the configuration, which states the rate for cold servers.
 TEST_CASE("a cold start before the configuration counts", "[backend]") {
   BackendFixture f;
   auto report = f.report("i", 1, 1);
@@ -76,8 +76,8 @@
   CHECK(f.Backend.gate().Cold);
 }
 
-// Guards against a late report of a server that ended, or of an earlier start
-// under the same identity, that replaces the present server.
+// Guards against a late report from an ended server, or from an earlier start
+// with the same instance ID, that replaces the current server.
 TEST_CASE("late reports of earlier starts are ignored", "[backend]") {
   BackendFixture f;
   f.configure();
@@ -95,8 +95,8 @@
   CHECK_FALSE(f.Backend.report(f.report("new", 30, 4)));
 }
 
-// Guards against a server that gets nothing as long as its daemon lives, since
-// the clock of its host went back before it started.
+// Guards against a server that receives no calls until its daemon restarts.
+// This happened if the host's clock stepped back before the server started.
 TEST_CASE("a start after the clock went back replaces a silent one",
           "[backend]") {
   BackendFixture f;
@@ -108,7 +108,7 @@
          f.Loop.now() < began + std::chrono::seconds(8)) {
     const auto wait = f.Loop.now() + std::chrono::milliseconds(500);
     runUntil(f.Loop, [&] { return f.Loop.now() >= wait; });
-    // The present server reports for two more seconds.
+    // The old server keeps reporting for two seconds.
     if (f.Loop.now() < began + std::chrono::seconds(2)) {
       REQUIRE(f.Backend.report(f.report("old", 100'000, 10 + sequence)));
     }
@@ -120,8 +120,8 @@
   CHECK_FALSE(f.Backend.report(f.report("old", 100'000, 99)));
 }
 
-// Guards against "not run" for work that reached the server, and against work
-// that is sent to another start than the one that was chosen.
+// Guards against reporting "not run" for a call that reached the server, and
+// against sending a call to an instance other than the chosen one.
 TEST_CASE("a lost answer is unknown", "[backend]") {
   BackendFixture f;
   f.configure();
@@ -144,13 +144,13 @@
   CHECK(result->Result == Outcome::Unknown);
 }
 
-// Guards against a request that crashes one server after the other, and against
-// the quarantine of one whose answers were only lost.
+// Guards against a request that crashes one server after another, and against
+// quarantining a request whose answers were merely lost.
 TEST_CASE("a request that crashes servers is refused", "[backend]") {
   BackendFixture f;
   f.configure();
   REQUIRE(f.Backend.report(f.report("i", 1, 1)));
-  // Another server died of it.
+  // Reports that the request crashed a server on another host.
   f.Poison.serverDied({"10.0.0.2", 1}, digestOf(f.call()));
   const auto lose = [&f] {
     std::optional<CallResult> result;
@@ -165,7 +165,7 @@
   };
   lose();
   CHECK_FALSE(f.Poison.quarantined(digestOf(f.call())));
-  // The server starts anew: it had crashed.
+  // A new instance reports, which shows that the previous one crashed.
   REQUIRE(f.Backend.report(f.report("j", 2, 1)));
   CHECK(f.Poison.quarantined(digestOf(f.call())));
   std::optional<CallResult> refused;
@@ -175,8 +175,8 @@
   CHECK(refused->Code == ErrorCode::Quarantined);
 }
 
-// Guards against a request that runs at a server after the daemon that sent it
-// is gone and its client was told that the outcome is unknown.
+// Guards against running a queued call after the daemon that sent it has
+// disconnected and its client was told that the outcome is unknown.
 TEST_CASE("a call that waited is not run for a caller that left", "[backend]") {
   BackendFixture f;
   f.configure();
@@ -192,7 +192,7 @@
       s.write("HTTP/1.1 500 Error\r\nChivefold-Request-Id: q\r\n"
               "Content-Length: 0\r\n\r\n");
     }
-    // A fifth request would come on one of these.
+    // A fifth request would arrive on one of these connections.
     for (const auto &s : open) {
       s.setReceiveTimeout({0, 200'000});
       CHECK(s.readAll().empty());
@@ -217,8 +217,8 @@
   CHECK(f.Backend.gate().InFlight == 0);
 }
 
-// Guards against a second copy of an answer, late and without the name of its
-// request, that is taken for the answer to the next one on its connection.
+// Guards against taking a late duplicate answer without a request ID for the
+// answer to the next request on the same connection.
 TEST_CASE("a late copy without a name reaches no other request", "[backend]") {
   BackendFixture f;
   f.configure();
@@ -248,8 +248,8 @@
   server.join();
 }
 
-// Guards against a server that gets nothing until its next report since some of
-// its answers in a row were lost, though it lives.
+// Guards against sending no calls to a live server until its next report
+// because several consecutive answers were lost.
 TEST_CASE("lost answers do not take a server out", "[backend]") {
   BackendFixture f;
   f.configure();
