--- a/include/chivefold/sidecar/fleet_service.h
+++ b/include/chivefold/sidecar/fleet_service.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * How daemons find each other and learn of each other's backend servers.
+ * Daemon discovery and exchange of backend server states between daemons.
  */
 #ifndef CHIVEFOLD_SIDECAR_FLEET_SERVICE_H
 #define CHIVEFOLD_SIDECAR_FLEET_SERVICE_H
@@ -16,40 +16,42 @@
 
 namespace chivefold {
 
-/** What other services add to a greeting and read from one. */
+/** State of other services that hello messages carry along. */
 struct GreetingExtras {
-  /** Place that the sender has reached in the operator's stream. */
+  /** End offset of the operator's stream as known to the sender. */
   std::uint64_t OperatorEnd = 0;
-  /** Time since the store confirmed that there is nothing behind it. */
+  /** Time since the store confirmed that the stream ends there. */
   Duration Unconfirmed{};
   std::uint64_t RolloutDigest = 0;
-  /** Requests that servers died of, as far as the sender knows. */
+  /** Server crashes known to the sender, with the requests that caused them. */
   std::vector<std::unique_ptr<wire::PoisonDeathT>> Deaths;
 };
 
-/** How an announcement came; the values are those of the wire. */
+/** Delivery path of an announcement; the values are used on the wire. */
 enum class HelloRoute : std::uint8_t { Direct, ToRelay, Relayed };
 
 /**
- * Registers this daemon in the store and greets the others. A daemon writes its
- * address first and then reads those of all: of two daemons the one that writes
- * later sees the other and greets it, so the pair knows each other without
- * polling. Changes are announced to the own data centre at once and to others
- * through relays; a slow probe of the host that was silent for longest finds
- * what was missed, and hosts that do not answer are tried again, so a restarted
- * daemon is found by its peers also while the store is down. Lists of addresses
- * are asked for only while the digests of two hosts differ, ever more seldom.
- * Used on the reactor's thread only.
+ * Registers this daemon in the store and sends hello messages to other daemons.
+ * A daemon first writes its own address and then lists all addresses. Of two
+ * daemons, the one that writes later therefore sees the other and contacts it,
+ * so no polling of the store is needed.
+ *
+ * State changes are announced directly within the data centre and through
+ * relays to other data centres. Periodic probes of the hosts that have been
+ * silent longest recover missed announcements. Unreachable hosts are retried,
+ * so peers find a restarted daemon even while the store is down. Address lists
+ * are requested only while the address digests of two hosts differ, with
+ * exponential backoff. Used on the reactor's thread only.
  */
 class FleetService {
 public:
-  /** Pause between two rounds of probes. */
+  /** Interval between rounds of probes. */
   static constexpr Duration ProbeInterval = std::chrono::milliseconds(500);
   static constexpr Duration GreetTimeout = std::chrono::milliseconds(800);
-  /** Hosts greeted in one round of probes. */
+  /** Maximum number of hosts probed per round. */
   static constexpr std::size_t MaxProbes = 64;
-  /** Pause before addresses are asked for again; doubles while the answers
-   * have nothing new. */
+  /** Minimum interval between requests for address lists; doubles up to
+   * MaxAddressPause while the answers contain no new address. */
   static constexpr Duration MinAddressPause = std::chrono::seconds(2);
   static constexpr Duration MaxAddressPause = std::chrono::seconds(30);
   static constexpr Duration StoreTimeout = std::chrono::milliseconds(1000);
@@ -57,27 +59,29 @@
   static constexpr Duration MaxStorePause = std::chrono::milliseconds(800);
 
   using Extras = std::function<GreetingExtras()>;
-  /** @p from greeted or answered. */
+  /** Called when a hello message or an answer to one arrives from @p from. */
   using Heard =
       std::function<void(const Address &from, const GreetingExtras &)>;
 
-  /** @param own address of this host. @param self returns its present state.
-   * @param changed runs when the table changed. The references outlive this
-   * object. */
+  /** @param own address of this host. @param self returns its current state.
+   * @param changed called when the table has changed. The references must
+   * outlive this object. */
   FleetService(Reactor &reactor, PeerNetwork &network, KeyedStore &store,
                FleetTable &table, AnnouncePlan &plan, Address own,
                std::function<HostState()> self, Extras extras, Heard heard,
                std::function<void()> changed, std::uint64_t seed);
 
-  /** Registers and starts probing. Precondition: called once. */
+  /** Registers this host and starts probing. Must be called only once. */
   void start();
 
-  /** @return up to @p max reachable hosts, drawn at random. */
+  /** @return up to @p max reachable other hosts, chosen at random. */
   std::vector<Address> randomHosts(std::size_t max);
 
-  /** Tells all hosts that the state of this one changed. */
+  /** Announces the current state of this host to all other hosts. */
   void announce();
 
+  /** Handles a hello message: an announcement if @p respond is empty, else a
+   * probe, which is answered with the state of this host. */
   void onHello(wire::HelloT &hello, const PeerResponder &respond);
 
 private:
@@ -108,7 +112,8 @@
   Heard OnHeard;
   std::function<void()> Changed;
   std::mt19937_64 Random;
-  /** The last greeted or greeting host knew other addresses. */
+  /** The address digest in the last hello message differed from that of this
+   * host. */
   bool AddressesDiffer = false;
   TimePoint NextAddresses{};
   Duration AddressPause = MinAddressPause;
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -90,7 +90,8 @@
                  return listHosts(batch->Records.back().Key);
                }
                NextAddresses = Loop.now() + AddressPause;
-               Lines.info("registered", {{"hosts", Table.hosts().size()}});
+               Lines.info("registered in the store",
+                          {{"hosts", Table.hosts().size()}});
              });
 }
 
@@ -100,7 +101,7 @@
       std::min(MinStorePause * (1 << std::min(StoreFailures, maxDoublings)),
                MaxStorePause);
   ++StoreFailures;
-  Lines.warn("the store did not take the registration",
+  Lines.warn("registration in the store failed; retrying",
              {{"error", errorName(reason.Code)},
               {"reason", reason.Message},
               {"failures", std::uint64_t{StoreFailures}}});
@@ -126,7 +127,7 @@
   }
   const auto gone = Table.forget(now);
   for (const auto &it : gone) {
-    Lines.info("forgot a host that stayed unreachable",
+    Lines.info("removed a host that stayed unreachable",
                {{"host", toString(it)}});
   }
   if (!gone.empty()) {
@@ -149,7 +150,7 @@
 void FleetService::announce() {
   Table.update(Self(), Loop.now());
   auto news = hello();
-  // Deaths spread by themselves; greetings repeat them.
+  // PoisonService distributes crash records itself; probes repeat them.
   news.deaths.clear();
   for (const auto &it : Plan.targets()) {
     pass(it.Peer, news, it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
@@ -184,8 +185,8 @@
         const bool lost = known != nullptr && known->reachable();
         Table.failed(peer, Loop.now());
         if (lost) {
-          Lines.warn("lost a host", {{"host", toString(peer)},
-                                     {"reason", outcome.Failure.Message}});
+          Lines.warn("host unreachable", {{"host", toString(peer)},
+                                          {"reason", outcome.Failure.Message}});
           Changed();
         }
       });
@@ -229,7 +230,7 @@
 }
 
 void FleetService::noteNews(const HostState &state, bool isNew) {
-  Lines.info(isNew ? "found a host" : "a host changed",
+  Lines.info(isNew ? "host discovered" : "host state changed",
              {{"host", toString(state.Peer)},
               {"sequence", state.Sequence},
               {"service", state.Server.Service},
@@ -239,7 +240,7 @@
   Changed();
 }
 
-// A greeting or the answer to one, from the host that it is about.
+// Handles a hello message, or the answer to one, sent by the host it describes.
 void FleetService::take(wire::HelloT &hello) {
   const auto state = stateOf(hello);
   if (!state || state->Peer == Own) {
@@ -279,8 +280,9 @@
   take(hello);
 }
 
-// Passes on what is new here; a copy that the other relay sent was passed on
-// by it.
+// Forwards an announcement within the data centre if its state is new to this
+// host. A state that is already known came through another relay, which has
+// forwarded it.
 void FleetService::relay(const HostState &state, const wire::HelloT &hello) {
   const auto *known = Table.find(state.Peer);
   const bool isNews = known == nullptr || !known->Heard ||
