--- a/include/chivefold/sidecar/order_feed.h
+++ b/include/chivefold/sidecar/order_feed.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Follows the operator's records in the platform's store.
+ * Replicates the operator's records from the platform's store.
  */
 #ifndef CHIVEFOLD_SIDECAR_ORDER_FEED_H
 #define CHIVEFOLD_SIDECAR_ORDER_FEED_H
@@ -22,7 +22,7 @@
 
 namespace chivefold {
 
-/** What the feed works with; all outlive it. */
+/** Dependencies of OrderFeed; all must outlive it. */
 struct OrderFeedParts {
   KeyedStore &Store;
   PeerNetwork &Network;
@@ -32,63 +32,71 @@
 };
 
 /**
- * Lists the newest records once. Readers then wait for further ones with one
- * long poll at a time, and tell a few random hosts of the place that they have
- * reached; these fetch what they lack and tell others in turn. Greetings carry
- * the place too, with the time since the store last confirmed it. A host that
- * learns of no such confirmation for too long reads the store itself. Used on
- * the reactor's thread only.
+ * Keeps this host's copy of the operator's records up to date. At start, it
+ * lists the newest record of each key. Afterwards only a few hosts, the
+ * readers, follow the store, each with one long poll at a time. When a reader
+ * receives records, it sends its end offset to a few random hosts, which fetch
+ * the missing records from it and notify others in turn. Hello messages also
+ * carry the end offset, with the time since the store last confirmed it. A host
+ * that receives no confirmation for MaxUnconfirmed reads the store itself. Used
+ * on the reactor's thread only.
  */
 class OrderFeed {
 public:
-  /** The store answers a poll without a record after this time. Together with
-   * AnswerSlack it bounds how long a poll that was lost delays an order. */
+  /** Time after which the store answers a long poll without a record. Together
+   * with AnswerSlack it bounds the delay of an order by a lost poll. */
   static constexpr Duration PollTime = std::chrono::milliseconds(1000);
   static constexpr Duration AnswerSlack = std::chrono::milliseconds(500);
   static constexpr Duration ListTimeout = std::chrono::milliseconds(1000);
   static constexpr Duration MinPause = std::chrono::milliseconds(100);
   static constexpr Duration MaxPause = std::chrono::milliseconds(500);
   static constexpr Duration FetchTimeout = std::chrono::milliseconds(400);
-  /** Without an answer of the store for this time a reader asks its peers. */
+  /** A reader without an answer from the store for this time fetches from its
+   * peers. */
   static constexpr Duration StaleAfter = std::chrono::milliseconds(800);
-  /** Pause between two checks of whether this host has to read. */
+  /** Interval between checks of whether this host must read the store. */
   static constexpr Duration DutyInterval = std::chrono::milliseconds(250);
-  /** A host that is no reader reads the store if the place that it has reached
-   * was not confirmed for this time. */
+  /** A host that is not a reader reads the store if its end offset has not been
+   * confirmed for this time. */
   static constexpr Duration MaxUnconfirmed = std::chrono::milliseconds(2500);
-  /** Hosts of the own data centre that are told of a new place: an epidemic
-   * that reaches 98 of 100 at once, greetings find the rest. */
+  /** Number of hosts in the own data centre that are notified of a new end
+   * offset. With this fan-out, gossip reaches 98 of 100 hosts immediately;
+   * hello messages reach the rest. */
   static constexpr std::size_t NoticeFanout = 4;
-  /** Records are fetched from another data centre only if no host of this one
-   * had them for this time: a configuration can have 256 KB. */
+  /** Delay before records are fetched from another data centre, during which a
+   * host of the own data centre may offer them. Saves traffic between data
+   * centres: a configuration can have 256 KB. */
   static constexpr Duration PreferNear = std::chrono::milliseconds(400);
-  /** Larger values are compressed for other hosts: a configuration that is
-   * fetched by four of them fills the link of a small host for 0.4 s. */
+  /** Larger values are compressed before they are sent to other hosts. Without
+   * compression, four fetches of a configuration occupy the link of a small
+   * host for 0.4 s. */
   static constexpr std::size_t MaxPlainBytes = 1024;
-  /** Hosts that can be asked for records, newest notice last. */
+  /** Maximum number of remembered hosts from which records can be fetched. */
   static constexpr std::size_t MaxSources = 4;
 
-  /** @param own address of this host. @param changed runs after records were
-   * applied. */
+  /** @param own address of this host. @param changed called after records have
+   * been applied. */
   OrderFeed(Reactor &reactor, const OrderFeedParts &parts, Address own,
             std::function<void(const OperatorChange &)> changed,
             std::uint64_t seed);
 
-  /** Starts reading. Precondition: called once. */
+  /** Starts reading the store. Must be called only once. */
   void start();
 
-  /** A peer told how far it has read. */
+  /** Handles the end offset and confirmation time in a peer's hello message. */
   void onPeer(const Address &peer, const GreetingExtras &extras);
+  /** Handles a peer's notice of a new end offset. */
   void onNotice(const wire::OrdersNoticeT &notice);
 
-  /** Answers a peer that lacks records from @p after on. */
+  /** Answers a peer's request for the records from offset @p fetch.after on. */
   void onFetch(const wire::FetchOrdersT &fetch, const PeerResponder &respond);
 
-  /** @return time since the store last confirmed, here or to a peer, that there
-   * are no further records than those that are known here. */
+  /** @return time since the store last confirmed, to this host or to a peer,
+   * that no records exist beyond those known to this host. */
   Duration unconfirmedFor() const;
 
-  /** @return whether the operator may have written what is not known here. */
+  /** @return whether the operator may have written records that this host does
+   * not know. */
   bool mayBeBehind() const { return unconfirmedFor() > MaxUnconfirmed; }
 
 private:
@@ -117,26 +125,27 @@
   std::mt19937_64 Random;
   std::vector<KeyedRecord> Listing;
   std::optional<std::uint64_t> ListingEnd;
-  /** Place from which the store is read next. */
+  /** Offset from which the store is read next. */
   std::uint64_t Next = 0;
   TimePoint AnsweredAt{};
-  /** When the store had no further records than are known here. */
+  /** When the store last had no records unknown to this host. */
   TimePoint ConfirmedAt{};
-  /** Values as they are sent to other hosts, by key; at most as many as there
-   * are records. */
+  /** Compressed value of a record. */
   struct Packed {
     std::uint64_t Offset = 0;
     std::vector<std::uint8_t> Bytes;
   };
+  /** Compressed values by key; bounded by the number of records. */
   std::map<std::string, Packed> PackedValues;
-  /** A host that knows more, and the place that it has reached. */
+  /** A host with more records, and its end offset. */
   struct Source {
     Address Peer;
     std::uint64_t End = 0;
   };
+  /** Ordered by notice, newest last. */
   std::deque<Source> Sources;
   TimerId SourceTimer = TimerId::None;
-  /** A listing, a poll or the pause after a failed one is in progress. */
+  /** A listing, a poll or the delay before a retry is in progress. */
   bool Reading = false;
   std::uint32_t Failures = 0;
   bool Complete = false;
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -43,7 +43,8 @@
     return pause(batch.reason(), true);
   }
   storeAnswered();
-  // Pages are no snapshot: what lies behind the first page's end is read again.
+  // The pages are not one snapshot: records behind the end offset of the first
+  // page are read again.
   ListingEnd = ListingEnd.value_or(batch->End);
   Listing.insert(Listing.end(), batch->Records.begin(), batch->Records.end());
   if (batch->HasMore && !batch->Records.empty()) {
@@ -62,7 +63,7 @@
 void OrderFeed::poll() {
   const auto now = Loop.now();
   Reading = true;
-  // What peers told need not be read again.
+  // Skips records that were already fetched from peers.
   Next = std::max(Next, State.end());
   Parts.Store.read(
       KeyedStream::Orders, Next, now + PollTime, now + PollTime + AnswerSlack,
@@ -103,8 +104,9 @@
 
 void OrderFeed::report(const OperatorChange &change) {
   if (change.Ignored.Code != ErrorCode::Ok) {
-    Lines.warn("ignored a record", {{"error", errorName(change.Ignored.Code)},
-                                    {"reason", change.Ignored.Message}});
+    Lines.warn("ignored an invalid record",
+               {{"error", errorName(change.Ignored.Code)},
+                {"reason", change.Ignored.Message}});
   }
   if (!change.any()) {
     return;
@@ -123,7 +125,7 @@
 void OrderFeed::storeAnswered() {
   AnsweredAt = Loop.now();
   if (Failures > 0) {
-    Lines.info("the store answers again",
+    Lines.info("the store is available again",
                {{"failures", std::uint64_t{Failures}}});
     Failures = 0;
   }
@@ -131,7 +133,7 @@
 
 void OrderFeed::pause(const Reason &reason, bool relist) {
   if (Failures == 0) {
-    Lines.warn("the store does not answer",
+    Lines.warn("the store is unavailable; retrying",
                {{"error", errorName(reason.Code)}, {"reason", reason.Message}});
   }
   Listing.clear();
@@ -185,7 +187,7 @@
   }
 }
 
-// Asks the host that told last of what is still not known here.
+// Fetches from the host with the latest notice that still has unknown records.
 void OrderFeed::fetchFromSource() {
   while (!Fetching && !Sources.empty()) {
     const auto source = Sources.back();
@@ -209,14 +211,14 @@
                           if (orders != nullptr) {
                             return takeOrders(*orders);
                           }
-                          Lines.info("a host did not send its orders",
+                          Lines.info("fetching orders from a host failed",
                                      {{"host", toString(peer)},
                                       {"reason", outcome.Failure.Message}});
                           fetchFromSource();
                         });
 }
 
-// Tells some random hosts that there is more here than they may know.
+// Sends the end offset of this host to randomly chosen hosts.
 void OrderFeed::tellOthers(std::size_t perOtherDataCentre) {
   wire::OrdersNoticeT notice;
   notice.from = addressToWire(Own);
@@ -251,8 +253,9 @@
   for (const auto &it : orders.records) {
     auto record = recordOf(*it);
     if (!record) {
-      // The place is not advanced, so that another host is asked.
-      Lines.warn("ignored the orders of a host",
+      // The end offset is not advanced, so the records are fetched again from
+      // another host.
+      Lines.warn("ignored invalid orders from a host",
                  {{"reason", record.reason().Message}});
       return;
     }
--- a/tests/unit/order_feed_test.cpp
+++ b/tests/unit/order_feed_test.cpp
@@ -13,12 +13,12 @@
 
 using std::chrono::milliseconds;
 
-/** The operator's stream, in memory. */
+/** In-memory store with the operator's stream. */
 class FakeStore : public KeyedStore {
 public:
   explicit FakeStore(Reactor &reactor) : Loop(reactor) {}
 
-  /** The operator writes; waiting reads end. */
+  /** Appends an operator's record and completes waiting reads. */
   void write(const std::string &key, const std::string &value) {
     Records.push_back({key, value, Records.size()});
     const auto waiting = std::move(Waiting);
@@ -87,7 +87,7 @@
          R"(","routes":[],"services":[],"limits":{}})";
 }
 
-/** One daemon's part that follows the operator. */
+/** An OrderFeed with its dependencies, as in one daemon. */
 struct Host {
   Host(Reactor &loop, FakeStore &store, std::string dataCentre,
        std::uint64_t seed)
@@ -136,7 +136,8 @@
 constexpr std::size_t DataCentres = 3;
 constexpr std::size_t HostsEach = 8;
 
-/** Daemons that know each other, each with a store's address of its own. */
+/** Hosts that know each other, each with its own store, so that the store can
+ * be unavailable to some of them. */
 struct Feeds {
   Feeds() {
     for (std::size_t i = 0; i < DataCentres * HostsEach; ++i) {
@@ -179,7 +180,7 @@
         }));
   }
 
-  /** Runs the loop until @p done or for ten seconds. */
+  /** Runs the loop until @p done returns true, for at most ten seconds. */
   bool runUntil(const std::function<bool()> &done) {
     const auto end = Loop.now() + std::chrono::seconds(10);
     bool ok = false;
@@ -209,8 +210,8 @@
 
 } // namespace
 
-// Guards against calls of the store that grow with the fleet: every daemon held
-// a poll, and each new configuration woke them all.
+// Guards against store load that grows with the fleet. This happened when every
+// daemon held a long poll, and each new configuration completed all of them.
 TEST_CASE("a few hosts read the orders for all", "[orders]") {
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
@@ -223,17 +224,17 @@
   }
 }
 
-// Guards against a configuration that crosses to each host of another data
-// centre by itself.
+// Guards against sending a configuration between data centres once per host
+// instead of once per data centre.
 TEST_CASE("hosts fetch orders within their data centre", "[orders]") {
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
   const auto writtenAt = feeds.Loop.now();
   feeds.write(2);
   CHECK(feeds.runUntil([&] { return feeds.knowing(2) == feeds.All.size(); }));
-  // On a machine that is too busy for that, hosts rightly ask further away.
+  // If the machine is too slow, hosts may fetch from other data centres.
   const bool inTime = feeds.Loop.now() < writtenAt + OrderFeed::PreferNear;
-  // Each host but the readers is served once, by one of its data centre.
+  // Each host except the readers is served once, by a host of its data centre.
   std::map<std::string, std::size_t> served;
   for (const auto &it : feeds.All) {
     served[it->DataCentre] += it->Fetches;
@@ -243,9 +244,9 @@
   }
 }
 
-// Guards against a data centre that does not learn of a configuration since the
-// store turns its readers away, and against a daemon that answers by a version
-// that was replaced.
+// Guards against a data centre that misses a configuration because the store is
+// unavailable to its readers, and against a daemon that answers requests by a
+// replaced configuration.
 TEST_CASE("hosts whose readers are turned away learn from others", "[orders]") {
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
@@ -257,8 +258,8 @@
   CHECK(feeds.runUntil([&] { return feeds.knowing(3) == feeds.All.size(); }));
 }
 
-// Guards against a fleet that stays behind because all of its readers lost the
-// store while it serves the other hosts.
+// Guards against a fleet that misses changes because all readers have lost the
+// store, although it is available to the other hosts.
 TEST_CASE("others read if no reader can", "[orders]") {
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
@@ -270,8 +271,8 @@
   CHECK(feeds.runUntil([&] { return feeds.knowing(4) == feeds.All.size(); }));
 }
 
-// Guards against a host that takes an old confirmation for a new one, or one of
-// a place that lies behind its own.
+// Guards against treating an old confirmation as a new one, or accepting a
+// confirmation of an earlier end offset.
 TEST_CASE("a confirmation counts from when the store gave it", "[orders]") {
   Feeds feeds;
   auto &host = *feeds.All[0];
