--- a/include/chivefold/sidecar/packed_text.h
+++ b/include/chivefold/sidecar/packed_text.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Compression of the operator's records on the way between daemons.
+ * Compression of the operator's records for transfer between daemons.
  */
 #ifndef CHIVEFOLD_SIDECAR_PACKED_TEXT_H
 #define CHIVEFOLD_SIDECAR_PACKED_TEXT_H
@@ -14,16 +14,17 @@
 
 namespace chivefold {
 
-/** Records above this size are not sent on, nor unpacked. */
+/** Maximum size of a decompressed text. Larger records are sent uncompressed.
+ */
 constexpr std::size_t MaxPackedTextBytes = 1U << 20U;
 
-/** @return @p text compressed by zlib, quickly rather than well: a small host
- * has a tenth of a core. Thread-safe. */
+/** @return @p text compressed with zlib at its fastest level, since a small
+ * host has only a tenth of a core. Thread-safe. */
 std::vector<std::uint8_t> packText(std::string_view text);
 
-/** @return the text of @p size bytes that @p packed holds, or InvalidRecord if
- * it holds another size, more than MaxPackedTextBytes or what is no compressed
- * text. Thread-safe. */
+/** @return the decompressed text, or InvalidRecord if @p packed is not valid
+ * zlib data, its text is not exactly @p size bytes long, or @p size exceeds
+ * MaxPackedTextBytes. Thread-safe. */
 Result<std::string> unpackText(const std::vector<std::uint8_t> &packed,
                                std::size_t size);
 
--- a/src/sidecar/packed_text.cpp
+++ b/src/sidecar/packed_text.cpp
@@ -7,7 +7,7 @@
 std::vector<std::uint8_t> packText(std::string_view text) {
   auto n = compressBound(static_cast<uLong>(text.size()));
   std::vector<std::uint8_t> out(n);
-  // Fails only for a buffer that is too small, which the bound rules out.
+  // Can fail only if the buffer is too small, which compressBound() rules out.
   compress2(out.data(), &n, reinterpret_cast<const Bytef *>(text.data()),
             static_cast<uLong>(text.size()), Z_BEST_SPEED);
   out.resize(n);
@@ -17,14 +17,15 @@
 Result<std::string> unpackText(const std::vector<std::uint8_t> &packed,
                                std::size_t size) {
   if (size > MaxPackedTextBytes) {
-    return Reason{ErrorCode::InvalidRecord, "a packed record is too large"};
+    return Reason{ErrorCode::InvalidRecord,
+                  "a compressed record exceeds the size limit"};
   }
   std::string out(size, '\0');
   auto n = static_cast<uLongf>(size);
   const int ec = uncompress(reinterpret_cast<Bytef *>(out.data()), &n,
                             packed.data(), static_cast<uLong>(packed.size()));
   if (ec != Z_OK || n != size) {
-    return Reason{ErrorCode::InvalidRecord, "a packed record is damaged"};
+    return Reason{ErrorCode::InvalidRecord, "a compressed record is damaged"};
   }
   return out;
 }
--- a/tests/unit/packed_text_test.cpp
+++ b/tests/unit/packed_text_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace chivefold;
 
-// Guards against a configuration that is changed on its way between daemons.
+// Guards against a configuration that compression changes in transit.
 TEST_CASE("packed text comes back whole", "[packed]") {
   CHECK(rc::check("any text", [](const std::string &text) {
     const auto back = unpackText(packText(text), text.size());
@@ -14,8 +14,8 @@
   }));
 }
 
-// Guards against a damaged or hostile record that ends the process, is taken in
-// part, or takes more memory than a record may have.
+// Guards against a damaged or malicious record that crashes the process, is
+// accepted in part, or allocates more memory than a record may have.
 TEST_CASE("damaged packed text is refused", "[packed]") {
   const std::string text(5000, 'x');
   auto packed = packText(text);
