--- a/include/chivefold/sidecar/ports.h
+++ b/include/chivefold/sidecar/ports.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the sidecar needs of the platform that it runs on.
+ * Interfaces that a platform implements for the sidecar.
  */
 #ifndef CHIVEFOLD_SIDECAR_PORTS_H
 #define CHIVEFOLD_SIDECAR_PORTS_H
@@ -20,61 +20,63 @@
 
 namespace chivefold {
 
-/** What a client states beside the request itself. */
+/** Metadata of a client's request. */
 struct ClientRequest {
-  /** Identity of this attempt of the client. */
+  /** Identifies this attempt of the client. */
   std::string Id;
   std::string Hostname;
-  /** How long the client waits; absent if it states nothing. */
+  /** How long the client will wait; absent if not stated. */
   std::optional<Duration> TimeLeft;
 };
 
-/** What is stated to a backend server beside the request itself. */
+/** Metadata of a request sent to a backend server. */
 struct ServerRequest {
   Duration TimeLeft{};
-  /** Start of the server that must run the request, and no other. */
+  /** The only server instance that may run the request. */
   std::string Instance;
-  /** Service of the host where the request began. */
+  /** Service of the host where the request originated. */
   std::string CallerService;
 };
 
-/** What a backend server's response says of the request. */
+/** Metadata of a backend server's response. */
 struct ServerResponse {
   /** The server states that it did not run the request. */
   bool NotRun = false;
-  /** Another start of a server has the address; implies NotRun. */
+  /** Another server instance now has the address; implies NotRun. */
   bool OtherInstance = false;
-  /** Identity of the request that is answered; "" if not stated. */
+  /** ID of the answered request; "" if not stated. */
   std::string RequestId;
-  /** The response was made by the server itself. */
+  /** The response carries the server's signature, so the server itself made it.
+   */
   bool Authentic = false;
 };
 
-/** The headers that clients and backend servers use. Thread-safe. */
+/** Reads and writes the headers of clients and backend servers. Thread-safe. */
 class RequestProtocol {
 public:
   virtual ~RequestProtocol() = default;
   virtual ClientRequest readClient(const HttpRequest &request) const = 0;
-  /** @return the headers for the server: those of the client without the ones
-   * of one connection, with the ones that the system sets. */
+  /** @return the headers for the server: the client's end-to-end headers plus
+   * those that the sidecar sets. */
   virtual HttpHeaders forServer(const HttpHeaders &fromClient,
                                 const ServerRequest &terms) const = 0;
   virtual ServerResponse readServer(const HttpResponse &response) const = 0;
 };
 
-/** What a backend server reports of itself to the daemon beside it. */
+/** Report of a backend server to the daemon on its host. */
 struct ServerReport {
   Address Server;
   BackendServerState State;
-  /** When the server started, by its clock; absent if not stated. */
+  /** Start time by the server's clock, in milliseconds; absent if not stated.
+   */
   std::optional<std::int64_t> StartedAtMs;
-  /** Rises with each report of one start. */
+  /** Increases with each report of one server instance. */
   std::uint64_t Sequence = 0;
-  /** How long the server stays cold. */
+  /** Remaining warm-up time of the server. */
   Duration ColdFor{};
 };
 
-/** What a call to the admin address is. */
+/** Kind of a request to the admin address. */
 enum class ReportCall : std::uint8_t { None, Report, Leave };
 
 /** Decodes the reports of backend servers. Thread-safe. */
@@ -82,76 +84,81 @@
 public:
   virtual ~ReportCodec() = default;
   virtual ReportCall callOf(const HttpRequest &request) const = 0;
-  /** @return the report, or InvalidRecord if it names no server to use.
-   * Precondition: callOf() gave Report. */
+  /** @return the report, or InvalidRecord if a field is missing or invalid.
+   * Precondition: callOf() returned Report. */
   virtual Result<ServerReport> report(const HttpRequest &request) const = 0;
-  /** @return the identity of the server that leaves. Precondition: callOf()
-   * gave Leave. */
+  /** @return the ID of the server instance that shuts down. Precondition:
+   * callOf() returned Leave. */
   virtual std::string leaving(const HttpRequest &request) const = 0;
 };
 
 /** Streams of keyed records in the platform's store. */
 enum class KeyedStream : std::uint8_t {
-  /** Written by the operator, read-only here. */
+  /** Written by the operator; read-only for the sidecar. */
   Orders,
-  /** Addresses of the fleet's daemons, by address. */
+  /** Data centres of the fleet's daemons, keyed by address. */
   Hosts,
-  /** Progress of rollouts, by service. */
+  /** Progress of rollouts, keyed by service. */
   Rollouts,
-  /** What the operator reads of rollouts. */
+  /** Status of rollouts, written for the operator. */
   RolloutStatus
 };
 
 /** Consecutive records of a stream. */
 struct KeyedBatch {
   std::vector<KeyedRecord> Records;
-  /** Place behind the last record of the stream. */
+  /** End offset of the stream. */
   std::uint64_t End = 0;
-  /** A listing that goes on behind the last key. */
+  /** The listing has further pages after the last key. */
   bool HasMore = false;
 };
 
 /** Outcome of a conditional append. */
 enum class AppendEnd : std::uint8_t {
   Written,
-  /** The stream did not end where it was expected to; nothing was written. */
+  /** The end offset was not the expected one; nothing was written. */
   Conflict,
   /** Nothing was written. */
   Refused,
-  /** No answer came; the record may appear now or later. */
+  /** No answer was received; the record may have been written or may still be.
+   */
   Uncertain
 };
 
 /**
- * The platform's store. Used on the reactor's thread only; callbacks run later,
- * from the loop. Errors: LogUnavailable, LogTrimmed, InvalidRecord,
- * DeadlineExceeded.
+ * Asynchronous client of the platform's store. Used on the reactor's thread
+ * only. Callbacks run from the event loop, never before the call returns.
+ * Errors: LogUnavailable, LogTrimmed, InvalidRecord, DeadlineExceeded.
  */
 class KeyedStore {
 public:
   using ReadDone = std::function<void(Result<KeyedBatch>)>;
-  /** @p offset is that of the record for Written, else the stream's end if the
-   * store told it. */
+  /** @p offset is the offset of the record if it was written, else the end
+   * offset of the stream if the store returned it. */
   using AppendDone = std::function<void(
       AppendEnd end, std::optional<std::uint64_t> offset, Reason reason)>;
 
   virtual ~KeyedStore() = default;
 
-  /** Lists the newest record of each key behind @p afterKey, one page. */
+  /** Lists one page of the newest records by key, starting after @p afterKey.
+   */
   virtual void list(KeyedStream stream, const std::string &afterKey,
                     TimePoint deadline, ReadDone done) = 0;
 
-  /** Reads records from @p from on, and waits for one until @p waitUntil. */
+  /** Reads records from offset @p from on; if there are none, waits for one
+   * until
+   * @p waitUntil. */
   virtual void read(KeyedStream stream, std::uint64_t from, TimePoint waitUntil,
                     TimePoint deadline, ReadDone done) = 0;
 
-  /** Appends a record. @param at only if the stream ends there. */
+  /** Appends a record. @param at if present, the record is written only if it
+   * is the end offset of the stream. */
   virtual void append(KeyedStream stream, const std::string &key,
                       std::string_view value, std::optional<std::uint64_t> at,
                       TimePoint deadline, AppendDone done) = 0;
 };
 
-/** Encodes what the operator reads. Thread-safe. */
+/** Encodes rollout statuses for the operator. Thread-safe. */
 class StatusCodec {
 public:
   virtual ~StatusCodec() = default;
@@ -159,7 +166,7 @@
   virtual std::string encode(const RolloutProgress &progress) const = 0;
 };
 
-/** All parts of the platform. The references outlive the sidecar. */
+/** The codecs of the platform; they must outlive the sidecar. */
 struct PlatformPorts {
   const RequestProtocol &Requests;
   const ReportCodec &Reports;
