--- a/include/chivefold/sidecar/proxy_service.h
+++ b/include/chivefold/sidecar/proxy_service.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Requests of the clients on this host.
+ * Proxy for the requests of clients on this host.
  */
 #ifndef CHIVEFOLD_SIDECAR_PROXY_SERVICE_H
 #define CHIVEFOLD_SIDECAR_PROXY_SERVICE_H
@@ -25,7 +25,7 @@
 
 namespace chivefold {
 
-/** What the proxy works with; all outlive it. */
+/** Dependencies of ProxyService; all must outlive it. */
 struct ProxyParts {
   const PlatformPorts &Ports;
   const OperatorState &Orders;
@@ -37,7 +37,7 @@
 };
 
 /**
- * Finds the route of each request, chooses a server and repeats attempts as the
+ * Routes each request, chooses a server and retries failed attempts as the
  * policy allows, within the client's deadline and the route's timeout. Used on
  * the reactor's thread only.
  */
@@ -49,13 +49,13 @@
   ProxyService(const ProxyService &) = delete;
   ProxyService &operator=(const ProxyService &) = delete;
 
-  /** Serves one request. */
+  /** Forwards one request and answers it. */
   void handle(const std::shared_ptr<HttpExchange> &exchange);
 
-  /** Changes the service that requests of this host are said to come from. */
+  /** Sets the service that is stated as the caller of this host's requests. */
   void setCallerService(std::string service);
 
-  /** Refuses requests from now on; those in progress go on. */
+  /** Refuses new requests; those in progress continue. */
   void startLeaving() { Leaving = true; }
 
   std::size_t openRequests() const { return Open.size(); }
@@ -91,7 +91,7 @@
   std::string CallerService;
   bool Leaving = false;
   std::unordered_map<Request *, RequestPtr> Open;
-  /** Bounded by the services of the configuration. */
+  /** By service; bounded by the services of the configuration. */
   std::map<std::string, RetryTokens, std::less<>> Tokens;
   ServiceSplit Split;
   AttemptAge Ages;
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** Before the first configuration, and for what has no other figure. */
+/** Retry-After value for refusals for which no other value is known. */
 constexpr Duration DefaultRetryAfter = std::chrono::milliseconds(500);
-/** Time in which a client notices that its host is stopping. */
+/** Retry-After value while the daemon stops; clients then use another host. */
 constexpr Duration LeavingRetryAfter = std::chrono::milliseconds(100);
 
 std::string pathAndQuery(const HttpRequest &request) {
@@ -50,13 +50,14 @@
   std::vector<Address> Tried;
   std::uint32_t Attempts = 0;
   std::uint32_t Runs = 0;
-  /** Present attempt. */
+  /** Host of the current attempt. */
   Address Peer;
   TimePoint AttemptAt{};
   bool InProgress = false;
   PeerRequestId PeerCall = PeerRequestId::None;
   BackendCallId LocalCall = BackendCallId::None;
-  /** Answer with a server error that is kept while another attempt runs. */
+  /** Last answer with a server error; delivered if the retry has no known
+   * outcome. */
   std::optional<CallResult> ErrorAnswer;
   Duration RetryAfter{};
   bool Done = false;
@@ -81,13 +82,13 @@
 void ProxyService::answerUnrouted(const std::shared_ptr<HttpExchange> &exchange,
                                   const ClientRequest &client) {
   const auto &routes = Parts.Orders.routes();
-  // The route may be one that this daemon has yet to learn of.
+  // The route may be in a configuration that this daemon has not received yet.
   const bool mayCome = Parts.Feed.mayBeBehind();
   const int status = !routes                   ? 503
                      : client.Hostname.empty() ? 400
                      : mayCome                 ? 503
                                                : 404;
-  Lines.info("no route",
+  Lines.info("no matching route",
              {{"request", client.Id},
               {"status", static_cast<std::uint64_t>(status)},
               {"host", client.Hostname},
@@ -110,7 +111,7 @@
   }
   const auto now = Loop.now();
   if (Leaving) {
-    // Clients of this host go elsewhere until the daemon is back.
+    // Clients of this host use another host until the daemon has restarted.
     return exchange->respond(refusal(503, LeavingRetryAfter));
   }
   auto request = std::make_shared<Request>();
@@ -367,7 +368,7 @@
   }
   request->Timer = TimerId::None;
   const bool sent = request->InProgress || request->Runs > 0;
-  Lines.info("deadline passed",
+  Lines.info("request deadline exceeded",
              {{"request", request->Call.RequestId},
               {"route", request->Route->Name},
               {"host", toString(request->Peer)},
@@ -405,7 +406,7 @@
   }
   stopAttempt(*request);
   Loop.cancel(request->Timer);
-  Lines.info("client left",
+  Lines.info("client disconnected",
              {{"request", request->Call.RequestId},
               {"route", request->Route->Name},
               {"held_ms", toMs(Loop.now() - request->ReceivedAt)}});
