--- a/include/chivefold/sidecar/rollout_service.h
+++ b/include/chivefold/sidecar/rollout_service.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Drives rollouts and spreads their progress.
+ * Controls rollouts and distributes their progress between daemons.
  */
 #ifndef CHIVEFOLD_SIDECAR_ROLLOUT_SERVICE_H
 #define CHIVEFOLD_SIDECAR_ROLLOUT_SERVICE_H
@@ -20,7 +20,7 @@
 
 namespace chivefold {
 
-/** What the rollout service works with; all outlive it. */
+/** Dependencies of RolloutService; all must outlive it. */
 struct RolloutParts {
   KeyedStore &Store;
   const PlatformPorts &Ports;
@@ -32,41 +32,46 @@
 };
 
 /**
- * One daemon drives each rollout: the reachable one with the lowest hash of its
- * address and the service. It writes each step to the store under the condition
- * that nothing was written meanwhile, so that of two drivers one loses and
- * reads again. A take-back is in force and spread before it is written, since
- * it is always safe. Used on the reactor's thread only.
+ * Each rollout is controlled by one daemon, the driver: the reachable host with
+ * the lowest hash of its address and the service. The driver writes each step
+ * to the store by a conditional append. If two daemons act as driver, the
+ * append of one fails, and it reads the progress again. A rollback takes effect
+ * and is distributed before it is written, since it is always safe. Used on the
+ * reactor's thread only.
  */
 class RolloutService {
 public:
   static constexpr Duration TickInterval = std::chrono::milliseconds(200);
   static constexpr Duration StoreTimeout = std::chrono::milliseconds(1000);
   static constexpr Duration StatsTimeout = std::chrono::milliseconds(600);
-  /** Longest pause between two attempts to write after failures. */
+  /** Maximum delay between retries after store failures. */
   static constexpr Duration MaxStorePause = std::chrono::seconds(1);
 
+  /** @param changed called when the progress of a rollout has changed. */
   RolloutService(Reactor &reactor, PeerNetwork &network,
                  const RolloutParts &parts, const RolloutSettings &settings,
                  Address self, std::function<void()> changed);
 
-  /** Reads the progress from the store and starts driving. Precondition:
-   * called once. */
+  /** Reads the progress from the store and starts controlling rollouts. Must be
+   * called only once. */
   void start();
 
-  /** The operator's orders changed. */
+  /** Notes when the operator's rollout orders were first seen. */
   void ordersChanged();
 
-  /** A peer's progress differs from this daemon's. */
+  /** Sends the progress to @p peer if its @p digest differs from digest(). */
   void onPeer(const Address &peer, std::uint64_t digest);
+  /** Applies the progress received from a peer. */
   void onRollouts(const wire::RolloutsT &rollouts);
+  /** Answers with the call counts of this host's backend server. */
   void onStatsRequest(const wire::StatsRequestT &request,
                       const PeerResponder &respond) const;
 
-  /** @return a hash of all progress, equal on daemons that know the same. */
+  /** @return a hash of all progress; equal on daemons with the same progress.
+   */
   std::uint64_t digest() const;
 
-  /** Stops driving, for a planned stop. */
+  /** Stops controlling rollouts, for a planned stop of the daemon. */
   void stop() { Stopped = true; }
 
 private:
@@ -74,13 +79,13 @@
     std::string Version;
     std::vector<KindCounts> Counts;
   };
-  /** One order that this daemon drives. */
+  /** Rollout order that this daemon controls. */
   struct Drive {
     explicit Drive(const RolloutSettings &settings) : Driver(settings) {}
     std::uint64_t OrderOffset = 0;
     RolloutDriver Driver;
     std::map<Address, HostCounts> Hosts;
-    /** Phase that the operator was told of. */
+    /** Phase last written to the operator's status stream. */
     std::optional<RolloutPhase> Reported;
     bool Reporting = false;
   };
@@ -108,9 +113,9 @@
   std::function<void()> Changed;
   OrderClock Clock;
   std::map<std::string, Drive> Drives;
-  /** End of the stream as last read; absent until then. */
+  /** End offset of the stream as last known; absent until the first listing. */
   std::optional<std::uint64_t> StreamEnd;
-  /** Place of the newest record of each service that the store confirmed. */
+  /** Offset of the newest record that the store confirmed, by service. */
   std::map<std::string, std::uint64_t> Confirmed;
   bool Writing = false;
   bool Listing = false;
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -21,7 +21,7 @@
   if (!record.Value) {
     return std::nullopt;
   }
-  // Buffers are read in place, so they must be aligned.
+  // FlatBuffers are read in place, so the bytes are copied to aligned memory.
   const std::vector<std::uint8_t> bytes(record.Value->begin(),
                                         record.Value->end());
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
@@ -58,31 +58,31 @@
     return;
   }
   Listing = true;
-  Parts.Store.list(KeyedStream::Rollouts, "", Loop.now() + StoreTimeout,
-                   [this](const Result<KeyedBatch> &batch) {
-                     Listing = false;
-                     if (!batch) {
-                       ++StoreFailures;
-                       Lines.warn("the rollouts were not read",
-                                  {{"reason", batch.reason().Message}});
-                       const auto pause = std::min<Duration>(
-                           TickInterval * std::min(StoreFailures, 4U),
-                           MaxStorePause);
-                       if (!StreamEnd) {
-                         Loop.schedule(Loop.now() + pause, [this] { list(); });
-                       }
-                       return;
-                     }
-                     StoreFailures = 0;
-                     StreamEnd = std::max(StreamEnd.value_or(0), batch->End);
-                     for (const auto &it : batch->Records) {
-                       if (const auto progress = decode(it)) {
-                         auto &place = Confirmed[progress->Service];
-                         place = std::max(place, progress->Offset);
-                         take(*progress);
-                       }
-                     }
-                   });
+  Parts.Store.list(
+      KeyedStream::Rollouts, "", Loop.now() + StoreTimeout,
+      [this](const Result<KeyedBatch> &batch) {
+        Listing = false;
+        if (!batch) {
+          ++StoreFailures;
+          Lines.warn("reading rollout progress from the store failed",
+                     {{"reason", batch.reason().Message}});
+          const auto pause = std::min<Duration>(
+              TickInterval * std::min(StoreFailures, 4U), MaxStorePause);
+          if (!StreamEnd) {
+            Loop.schedule(Loop.now() + pause, [this] { list(); });
+          }
+          return;
+        }
+        StoreFailures = 0;
+        StreamEnd = std::max(StreamEnd.value_or(0), batch->End);
+        for (const auto &it : batch->Records) {
+          if (const auto progress = decode(it)) {
+            auto &place = Confirmed[progress->Service];
+            place = std::max(place, progress->Offset);
+            take(*progress);
+          }
+        }
+      });
 }
 
 bool RolloutService::take(const RolloutProgress &progress) {
@@ -90,11 +90,12 @@
     return false;
   }
   Clock.sawProgress(progress, Loop.now());
-  Lines.info("progress", {{"service", progress.Service},
-                          {"target", progress.TargetVersion},
-                          {"phase", rolloutPhaseName(progress.Phase)},
-                          {"share", std::uint64_t{progress.ShareBasisPoints}},
-                          {"offset", progress.Offset}});
+  Lines.info("rollout progress",
+             {{"service", progress.Service},
+              {"target", progress.TargetVersion},
+              {"phase", rolloutPhaseName(progress.Phase)},
+              {"share", std::uint64_t{progress.ShareBasisPoints}},
+              {"offset", progress.Offset}});
   Changed();
   return true;
 }
@@ -139,9 +140,9 @@
   if (drive.OrderOffset != order.Offset) {
     drive = Drive(Settings);
     drive.OrderOffset = order.Offset;
-    Lines.info("drives a rollout", {{"service", order.Service},
-                                    {"target", order.TargetVersion},
-                                    {"order", order.Offset}});
+    Lines.info("controlling a rollout", {{"service", order.Service},
+                                         {"target", order.TargetVersion},
+                                         {"order", order.Offset}});
   }
   const auto *known = Parts.Versions.progress(order.Service);
   if (known == nullptr || known->OrderOffset < order.Offset) {
@@ -174,7 +175,7 @@
     } else if (before->Phase == RolloutPhase::Completed) {
       out.BaseVersion = before->TargetVersion;
     }
-    // An order may name a version again that was rolled back before.
+    // A new order may target a version that was rolled back before.
     out.Rejected.erase(std::remove(out.Rejected.begin(), out.Rejected.end(),
                                    order.TargetVersion),
                        out.Rejected.end());
@@ -265,7 +266,7 @@
     next.Phase = RolloutPhase::RolledBack;
   }
   Lines.info(
-      "decided",
+      "rollout decision",
       {{"service", order.Service},
        {"target", order.TargetVersion},
        {"action", rolloutActionName(decision.Action)},
@@ -273,7 +274,7 @@
        {"elapsed_ms", static_cast<std::uint64_t>(next.Elapsed.count() / 1000)},
        {"evidence", decision.Evidence}});
   if (decision.Action == RolloutAction::RollBack) {
-    // Taking traffic away is always safe: it counts before it is written.
+    // Removing traffic is always safe, so it takes effect before it is written.
     next.Offset = known.Offset + 1;
     take(next);
     spread();
@@ -299,7 +300,8 @@
           StreamEnd = at + 1;
           progress.Offset = at;
           Confirmed[progress.Service] = at;
-          // A take-back that is in force already has a place of its own.
+          // A rollback already in force has a provisional offset, which may be
+          // greater than that of the record.
           const auto *known = Parts.Versions.progress(progress.Service);
           if (known != nullptr && known->Phase == progress.Phase &&
               known->OrderOffset == progress.OrderOffset &&
@@ -310,13 +312,14 @@
           return spread();
         }
         ++StoreFailures;
-        Lines.warn("a step was not written", {{"service", progress.Service},
-                                              {"error", errorName(reason.Code)},
-                                              {"reason", reason.Message}});
+        Lines.warn("writing rollout progress to the store failed",
+                   {{"service", progress.Service},
+                    {"error", errorName(reason.Code)},
+                    {"reason", reason.Message}});
         NextWrite = Loop.now() + std::min<Duration>(
                                      TickInterval * std::min(StoreFailures, 4U),
                                      MaxStorePause);
-        // Another driver wrote, or the record may be there.
+        // Another driver may have written, or this append may have succeeded.
         list();
       });
 }
@@ -341,14 +344,14 @@
         it->second.Reporting = false;
         if (end == AppendEnd::Written) {
           it->second.Reported = progress.Phase;
-          Lines.info("status reported",
+          Lines.info("rollout status written",
                      {{"service", progress.Service},
                       {"phase", rolloutPhaseName(progress.Phase)}});
           return;
         }
         ++StoreFailures;
         NextWrite = Loop.now() + TickInterval;
-        Lines.warn("the status was not written",
+        Lines.warn("writing rollout status to the store failed",
                    {{"service", progress.Service}, {"reason", reason.Message}});
       });
 }
--- a/src/sidecar/rollout_wire.h
+++ b/src/sidecar/rollout_wire.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Wire form of the progress of rollouts, in frames and in the store. Internal
- * to sidecar. All functions are thread-safe.
+ * Conversion of rollout progress to and from its wire format, which is used in
+ * frames and in the store. Internal to src/sidecar. All functions are
+ * thread-safe.
  */
 #ifndef CHIVEFOLD_SIDECAR_ROLLOUT_WIRE_H
 #define CHIVEFOLD_SIDECAR_ROLLOUT_WIRE_H
@@ -16,7 +17,8 @@
 
 std::unique_ptr<wire::RolloutProgressT> toWire(const RolloutProgress &from);
 
-/** @return the progress, or nothing if a field is missing or out of range. */
+/** @return the progress, or std::nullopt if a field is missing or out of range.
+ */
 std::optional<RolloutProgress> fromWire(const wire::RolloutProgressT &from);
 
 } // namespace chivefold
