--- a/include/chivefold/sidecar/sidecar.h
+++ b/include/chivefold/sidecar/sidecar.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * All parts of a sidecar, wired together.
+ * The sidecar daemon, assembled from its services.
  */
 #ifndef CHIVEFOLD_SIDECAR_SIDECAR_H
 #define CHIVEFOLD_SIDECAR_SIDECAR_H
@@ -13,26 +13,28 @@
 
 namespace chivefold {
 
-/** A sidecar on a reactor. Used on the reactor's thread only. */
+/** Proxy and gate beside one backend server. Used on the reactor's thread only.
+ */
 class Sidecar {
 public:
-  /** @param ports and @param store of the platform; they outlive this object.
-   * @param seed of all random choices. */
+  /** @param ports and @param store of the platform, which must outlive this
+   * object. @param seed seeds all random choices. */
   Sidecar(Reactor &reactor, SidecarSettings settings,
           const PlatformPorts &ports, KeyedStore &store, std::uint64_t seed);
   ~Sidecar();
   Sidecar(const Sidecar &) = delete;
   Sidecar &operator=(const Sidecar &) = delete;
 
-  /** Binds all addresses and starts. @return why an address is not free. */
+  /** Binds all addresses and starts the services. @return the error if an
+   * address cannot be bound. */
   Status start();
 
-  /** Takes changed settings: the service of this host and the log level;
-   * addresses stay until a restart. */
+  /** Applies changed settings: the service of this host and the log level.
+   * Other changes need a restart. */
   void reload(const SidecarSettings &settings);
 
-  /** Planned stop: finishes what is in progress and stops the reactor within
-   * the grace period. */
+  /** Begins a planned stop: requests in progress finish, and the reactor stops
+   * within the grace period. */
   void stop();
 
 private:
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -15,18 +15,19 @@
 namespace {
 
 constexpr std::size_t InitialConnections = 16;
-/** Time after the stop in which clients may still begin requests here: the
- * platform takes a host out after two missed checks, one a second. */
+/** Time after a stop during which clients may still send requests: the platform
+ * removes a host after two failed readiness checks, one per second. */
 constexpr Duration StopNotice = std::chrono::milliseconds(2600);
-/** Part of the grace period that is kept free for the exit itself. */
+/** Part of the grace period reserved for the exit of the process. */
 constexpr Duration ExitReserve = std::chrono::milliseconds(500);
 constexpr Duration DrainCheck = std::chrono::milliseconds(50);
-/** A fleet of one host is ready without any peer after this time. */
+/** Without known peers, the daemon is ready after this time: the fleet may
+ * consist of one host. */
 constexpr Duration LonelyReadiness = std::chrono::milliseconds(1500);
-/** Pause between two lines on what was sent to other daemons. */
+/** Interval between log lines about traffic to other daemons. */
 constexpr Duration TrafficInterval = std::chrono::seconds(10);
 
-// Text of the metrics address.
+// Peer traffic in the Prometheus text format.
 std::string trafficMetrics(const PeerNetwork &network) {
   std::string out;
   for (const auto &it : network.traffic()) {
@@ -66,7 +67,7 @@
   std::uint64_t Sequence = 0;
   TimePoint StartedAt;
   bool Leaving = false;
-  /** No further request of a client is begun. */
+  /** New requests of clients are refused. */
   bool Closed = false;
 
   OperatorState Orders;
@@ -87,7 +88,7 @@
   HttpServer CallerServer;
   HttpServer AdminServer;
   HttpServer ReadinessServer;
-  /** Calls of peers in progress, by token of their request. */
+  /** Calls of peers in progress, by request token. */
   std::unordered_map<std::uint64_t, BackendCallId> PeerCalls;
   Logger Lines{"sidecar"};
 };
@@ -203,7 +204,8 @@
   case wire::FrameBody::StatsRequest:
     return Rollouts.onStatsRequest(*body.AsStatsRequest(), respond);
   default:
-    // Frames of a newer protocol are ignored; the sender sees a time-out.
+    // Frames of a newer protocol are ignored; a request among them times out at
+    // the sender.
     return;
   }
 }
@@ -260,11 +262,12 @@
   const auto report = Ports.Reports.report(exchange->request());
   const auto taken = report ? Backend.report(*report) : Status(report.reason());
   if (!taken) {
-    Lines.info("ignored a report", {{"path", exchange->request().Path},
-                                    {"error", errorName(taken.reason().Code)},
-                                    {"reason", taken.reason().Message}});
+    Lines.info("ignored a backend server's report",
+               {{"path", exchange->request().Path},
+                {"error", errorName(taken.reason().Code)},
+                {"reason", taken.reason().Message}});
   }
-  // A stale report was received all the same; one that cannot be read was not.
+  // An outdated report is acknowledged; only a malformed one is an error.
   const bool readable = report.hasValue();
   exchange->respond(
       {readable ? 200 : 400, {{"Content-Type", "application/json"}}, "{}"});
@@ -274,7 +277,7 @@
   const auto instance = Ports.Reports.leaving(exchange->request());
   const auto taken = Backend.leave(instance);
   if (!taken) {
-    Lines.info("ignored a departure",
+    Lines.info("ignored a backend server's shutdown notice",
                {{"instance", instance}, {"reason", taken.reason().Message}});
   }
   exchange->respond({200, {{"Content-Type", "application/json"}}, "{}"});
@@ -282,14 +285,14 @@
 
 void Sidecar::Parts::logTraffic() {
   for (const auto &it : Network.traffic()) {
-    Lines.info("sent to other daemons",
+    Lines.info("frames sent to other daemons",
                {{"kind", it.Kind}, {"frames", it.Frames}, {"bytes", it.Bytes}});
   }
   Loop.schedule(Loop.now() + TrafficInterval, [this] { logTraffic(); });
 }
 
-// Until @p earliest clients may begin requests; then only open ones are
-// finished, until @p latest.
+// Accepts new requests until @p earliest, then finishes open ones until @p
+// latest and stops the reactor.
 void Sidecar::Parts::drain(TimePoint earliest, TimePoint latest) {
   const auto now = Loop.now();
   if (now >= earliest && !Closed) {
