--- a/include/chivefold/sidecar/sidecar_settings.h
+++ b/include/chivefold/sidecar/sidecar_settings.h
@@ -14,38 +14,38 @@
 namespace chivefold {
 
 struct SidecarSettings {
-  /** Clients on this host send their requests here. */
+  /** Address for requests of clients on this host. */
   Address CallerListen;
-  /** The platform asks here whether the daemon is ready. */
+  /** Address for the platform's readiness checks. */
   Address ReadinessListen;
-  /** The backend server reports here; operators read figures here. */
+  /** Address for the backend server's reports and the operators' metrics. */
   Address AdminListen;
-  /** Other daemons. */
+  /** Address for other daemons; also identifies this host. */
   Address PeerListen;
-  /** The backend server on this host. */
+  /** Address of the backend server on this host. */
   Address BackendServer;
-  /** The platform's store. */
+  /** Address of the platform's store. */
   Address Store;
   std::string DataCentre;
   std::string Service;
   std::string LogLevel = "info";
-  /** Time that a planned stop may take. */
-  /** Requests that a version may get before it is completed. */
+  /** Limits the requests sent to a new version before its rollout completes. */
   ExposureTerms Exposure;
+  /** Maximum duration of a planned stop. */
   Duration GracePeriod = std::chrono::seconds(6);
-  /** Where the settings file lies; "" if there is none. */
+  /** Path of the settings file; "" if there is none. */
   std::string File;
 };
 
-/** Settings, or what to print and the exit code. */
+/** The settings, or the text to print and the exit code. */
 struct ParsedSidecarSettings {
   std::optional<SidecarSettings> Value;
   std::string Output;
   int ExitCode = 0;
 };
 
-/** Parses flags, the environment and the settings file; unknown fields of the
- * file are ignored. Thread-safe if the environment does not change. */
+/** Parses flags, environment variables and the settings file. Unknown fields in
+ * the file are ignored. Thread-safe if the environment does not change. */
 ParsedSidecarSettings parseSidecarSettings(int argc, const char *const *argv);
 
 } // namespace chivefold
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Time that a planned stop may take, in seconds. */
+/** Allowed range of --grace-seconds. */
 constexpr double MinGraceSeconds = 0.5;
 constexpr double MaxGraceSeconds = 600;
 constexpr double MaxExposureSlack = 1e6;
@@ -23,13 +23,14 @@
   const auto add = [&app](const char *flag, Address &to, const char *help) {
     withEnvironment(addAddress(app, flag, to, help))->required();
   };
-  add("--caller-listen", s.CallerListen, "address for clients");
+  add("--caller-listen", s.CallerListen, "address for requests of clients");
   add("--readiness-listen", s.ReadinessListen, "address for readiness checks");
   add("--admin-listen", s.AdminListen,
       "address for the backend server's reports and for operators");
   add("--peer-listen", s.PeerListen, "address for other daemons");
-  add("--backend-server", s.BackendServer, "the backend server on this host");
-  add("--store", s.Store, "the platform's store");
+  add("--backend-server", s.BackendServer,
+      "address of the backend server on this host");
+  add("--store", s.Store, "address of the platform's store");
 }
 
 } // namespace
@@ -40,7 +41,7 @@
   double graceSeconds = 6;
   CLI::App app("chivefold-sidecar: proxy and gate beside one backend server, "
                "on a platform with a keyed store");
-  // CLI11 does not look at the environment for the file itself.
+  // CLI11 does not read the path of the settings file from the environment.
   const char *file = std::getenv("CHIVEFOLD_CONFIG");
   auto *config =
       app.set_config("--config", file != nullptr ? file : "",
@@ -49,17 +50,20 @@
   addListeners(app, s);
   addName(app, "--data-centre", s.DataCentre, "data centre of this host");
   addName(app, "--service", s.Service, "service of the backend server");
-  withEnvironment(app.add_option("--grace-seconds", graceSeconds,
-                                 "time that a planned stop may take"))
+  withEnvironment(
+      app.add_option("--grace-seconds", graceSeconds,
+                     "maximum duration of a planned stop, in seconds"))
       ->check(CLI::Range(MinGraceSeconds, MaxGraceSeconds))
       ->capture_default_str();
   withEnvironment(
-      app.add_option("--exposure-share", s.Exposure.Share,
-                     "part of a service's requests that a bad version may get"))
+      app.add_option(
+          "--exposure-share", s.Exposure.Share,
+          "maximum share of a service's requests sent to a bad version"))
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  withEnvironment(app.add_option("--exposure-slack", s.Exposure.Slack,
-                                 "requests that it may get besides"))
+  withEnvironment(
+      app.add_option("--exposure-slack", s.Exposure.Slack,
+                     "requests that a bad version may receive in addition"))
       ->check(CLI::Range(0.0, MaxExposureSlack))
       ->capture_default_str();
   addLogLevel(app, s.LogLevel);
