--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-// Guards against a report of another writer that names a server to use.
+// Guards against using a server from a malformed or incomplete report.
 TEST_CASE("reports are read whole or not at all", "[platform]") {
   const platform::ServerReports codec;
   const auto good = codec.report(put(
@@ -45,8 +45,8 @@
   }
 }
 
-// Guards against a deadline, caller or identity that a client sets itself, and
-// against headers of one connection that travel on.
+// Guards against forwarding hop-by-hop headers, and a deadline, caller or
+// instance ID that a client has set itself.
 TEST_CASE("the system sets its own headers", "[platform]") {
   const platform::RequestHeaders headers;
   const auto sent =
@@ -68,7 +68,7 @@
   CHECK(headerValue(sent, "Connection").empty());
 }
 
-// Guards against a refusal that is taken for an answer and the reverse.
+// Guards against confusing a refused request with an answered one.
 TEST_CASE("only a stated refusal has not run", "[platform]") {
   const platform::RequestHeaders headers;
   CHECK_FALSE(headers.readServer({503, {}, ""}).NotRun);
@@ -79,7 +79,7 @@
             .Authentic);
 }
 
-// Guards against offsets that are counted wrongly and a read that is cut off.
+// Guards against wrong offsets and against accepting a truncated read.
 TEST_CASE("records of the store are decoded", "[platform]") {
   std::string body(7, '\0');
   body += '\x09';
@@ -98,7 +98,7 @@
   CHECK_FALSE(platform::parseRecords(body, 7));
 }
 
-// Guards against values that lose or gain bytes with the padding.
+// Guards against values that lose or gain bytes because of base64 padding.
 TEST_CASE("a listing of the store is decoded", "[platform]") {
   const auto batch = platform::parseListing(
       R"({"items":[{"key":"a","value":"YQ==","offset":4},
