--- a/include/chivefold/sidecar/ports.h
+++ b/include/chivefold/sidecar/ports.h
@@ -77,13 +77,13 @@
 };
 
 /** Kind of a request to the admin address. */
-enum class ReportCall : std::uint8_t { None, Report, Leave };
+enum class AdminRequestKind : std::uint8_t { None, Report, Leave };
 
 /** Decodes the reports of backend servers. Thread-safe. */
 class ReportCodec {
 public:
   virtual ~ReportCodec() = default;
-  virtual ReportCall callOf(const HttpRequest &request) const = 0;
+  virtual AdminRequestKind requestKind(const HttpRequest &request) const = 0;
   /** @return the report, or InvalidRecord if a field is missing or invalid.
    * Precondition: callOf() returned Report. */
   virtual Result<ServerReport> report(const HttpRequest &request) const = 0;
@@ -114,7 +114,7 @@
 };
 
 /** Outcome of a conditional append. */
-enum class AppendEnd : std::uint8_t {
+enum class AppendOutcome : std::uint8_t {
   Written,
   /** The end offset was not the expected one; nothing was written. */
   Conflict,
@@ -136,7 +136,7 @@
   /** @p offset is the offset of the record if it was written, else the end
    * offset of the stream if the store returned it. */
   using AppendDone = std::function<void(
-      AppendEnd end, std::optional<std::uint64_t> offset, Reason reason)>;
+      AppendOutcome end, std::optional<std::uint64_t> offset, Reason reason)>;
 
   virtual ~KeyedStore() = default;
 
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -292,10 +292,10 @@
   Parts.Store.append(
       KeyedStream::Rollouts, progress.Service, bytes, at,
       Loop.now() + StoreTimeout,
-      [this, progress, at](AppendEnd end, auto /*offset*/,
+      [this, progress, at](AppendOutcome end, auto /*offset*/,
                            const Reason &reason) mutable {
         Writing = false;
-        if (end == AppendEnd::Written) {
+        if (end == AppendOutcome::Written) {
           StoreFailures = 0;
           StreamEnd = at + 1;
           progress.Offset = at;
@@ -335,14 +335,15 @@
       KeyedStream::RolloutStatus, Parts.Ports.Statuses.key(progress),
       Parts.Ports.Statuses.encode(progress), std::nullopt,
       Loop.now() + StoreTimeout,
-      [this, progress](AppendEnd end, auto /*offset*/, const Reason &reason) {
+      [this, progress](AppendOutcome end, auto /*offset*/,
+                       const Reason &reason) {
         const auto it = Drives.find(progress.Service);
         if (it == Drives.end() ||
             it->second.OrderOffset != progress.OrderOffset) {
           return;
         }
         it->second.Reporting = false;
-        if (end == AppendEnd::Written) {
+        if (end == AppendOutcome::Written) {
           it->second.Reported = progress.Phase;
           Lines.info("rollout status written",
                      {{"service", progress.Service},
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -238,12 +238,12 @@
 
 void Sidecar::Parts::onAdmin(const std::shared_ptr<HttpExchange> &exchange) {
   const auto &request = exchange->request();
-  switch (Ports.Reports.callOf(request)) {
-  case ReportCall::Report:
+  switch (Ports.Reports.requestKind(request)) {
+  case AdminRequestKind::Report:
     return onReport(exchange);
-  case ReportCall::Leave:
+  case AdminRequestKind::Leave:
     return onLeave(exchange);
-  case ReportCall::None:
+  case AdminRequestKind::None:
     break;
   }
   if (request.Path == "/-/metrics") {
