--- a/include/chivefold/sidecar/backend_service.h
+++ b/include/chivefold/sidecar/backend_service.h
@@ -26,7 +26,7 @@
 using BackendCallId = GateRequestId;
 
 /** Dependencies of BackendService; all must outlive it. */
-struct BackendParts {
+struct BackendDependencies {
   const PlatformPorts &Ports;
   const OperatorState &Orders;
   const VersionPolicy &Versions;
@@ -34,7 +34,7 @@
 };
 
 /** Location of the backend server and of its host. */
-struct BackendPlace {
+struct BackendLocation {
   Address Server;
   /** Address of this daemon, which identifies the host to peers. */
   Address Host;
@@ -50,24 +50,25 @@
 public:
   /** Maximum number of ended server instances to remember; late reports from
    * them are ignored. */
-  static constexpr std::size_t MaxEnded = 64;
+  static constexpr std::size_t MaxEndedStarts = 64;
   /** Consecutive unanswered calls after which the server is considered
    * unresponsive until its next report. */
-  static constexpr std::uint32_t MaxSilentCalls = 3;
+  static constexpr std::uint32_t MaxUnansweredCalls = 3;
   /** A server that answered a call within this time is considered alive,
    * however many answers are lost. Several times the usual service time. */
-  static constexpr Duration AliveFor = std::chrono::milliseconds(500);
+  static constexpr Duration RecentAnswerWindow = std::chrono::milliseconds(500);
   /** A connection that has been idle for longer is not reused for a request
    * that may run at most once: the server may have closed it already. */
-  static constexpr Duration FreshFor = std::chrono::seconds(2);
+  static constexpr Duration MaxReuseIdleTime = std::chrono::seconds(2);
 
   /** A server whose stated start time is earlier than that of the current one
    * replaces it only if the current one has not reported for this time, which
    * exceeds two report intervals. */
-  static constexpr Duration SilentFor = std::chrono::milliseconds(3500);
+  static constexpr Duration ReplaceAfterSilence =
+      std::chrono::milliseconds(3500);
   /** The replacement must also have been reporting for this time, at least one
    * report interval. */
-  static constexpr Duration StaysFor = std::chrono::milliseconds(1000);
+  static constexpr Duration MinSuccessorTime = std::chrono::milliseconds(1000);
   /** Maximum number of interrupted requests kept as possible causes of a
    * crash. */
   static constexpr std::size_t MaxInterrupted = 256;
@@ -77,12 +78,12 @@
   /** A new instance that reports within this time of an interruption means that
    * the previous one crashed. A crashed server restarts within seconds, so a
    * later start has another cause. */
-  static constexpr Duration CrashMemory = std::chrono::seconds(15);
+  static constexpr Duration CrashAttributionWindow = std::chrono::seconds(15);
 
   /** @param changed called when the state of the server has changed. The
    * references must outlive this object. */
   BackendService(Reactor &reactor, HttpClient &client,
-                 const BackendParts &parts, BackendPlace place,
+                 const BackendDependencies &parts, BackendLocation place,
                  std::function<void()> changed);
 
   /** Applies a report. @return InvalidRecord if the server runs on another
@@ -101,12 +102,12 @@
 
   /** @return whether the caller still waits for the answer. Checked before a
    * queued call is started; the callback may cancel the call. */
-  using StillWanted = std::function<bool()>;
+  using CallerWaiting = std::function<bool()>;
 
   /** Runs or queues a call. @p reply is called exactly once unless the call is
    * cancelled, possibly before this function returns. */
   BackendCallId run(CallMessage call, CallReply reply,
-                    StillWanted stillWanted = {});
+                    CallerWaiting callerWaiting = {});
   bool isOpen(BackendCallId id) const { return Calls.count(id) > 0; }
   /** Cancels a call: a queued call is dropped, a running one is aborted. */
   void cancel(BackendCallId id);
@@ -128,7 +129,7 @@
   struct Call {
     CallMessage Message;
     CallReply Reply;
-    StillWanted IsWanted;
+    CallerWaiting IsCallerWaiting;
     HttpCallId Http = HttpCallId::None;
     TimePoint StartedAt{};
     RequestDigest Digest = RequestDigest::None;
@@ -145,14 +146,14 @@
   void drop(const std::vector<GateRequestId> &ids, ErrorCode code);
   void runWaiting();
   void armTimer();
-  void takeStart(const ServerReport &report);
+  void beginInstance(const ServerReport &report);
   void updateGate();
-  void noteSilence();
-  void noteInterruption(const Call &call, const CallResult &result);
+  void markUnresponsive();
+  void recordInterruption(const Call &call, const CallResult &result);
   void reportCrash();
   void count(const Call &call, const CallResult &result, Duration latency);
-  bool replacesSilent(const ServerReport &report);
-  void endPresent();
+  bool replacesSilentServer(const ServerReport &report);
+  void endCurrentInstance();
 
   Reactor &Loop;
   HttpClient &Client;
@@ -185,9 +186,9 @@
   /** End of the warm-up period, according to the last report. */
   TimePoint ColdUntil{};
   /** The server does not respond; no calls are sent until its next report. */
-  bool Suspect = false;
+  bool Unresponsive = false;
   bool Leaving = false;
-  std::uint32_t SilentCalls = 0;
+  std::uint32_t UnansweredCalls = 0;
   TimePoint AnsweredAt{};
   std::deque<Start> EndedStarts;
   SlotGate Gate;
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -23,7 +23,8 @@
 } // namespace
 
 BackendService::BackendService(Reactor &reactor, HttpClient &client,
-                               const BackendParts &parts, BackendPlace place,
+                               const BackendDependencies &parts,
+                               BackendLocation place,
                                std::function<void()> changed)
     : Loop(reactor), Client(client), Ports(parts.Ports), Orders(parts.Orders),
       Versions(parts.Versions), Poison(parts.Poison),
@@ -42,7 +43,7 @@
   }
   const bool older =
       StartedAtMs && report.StartedAtMs && *report.StartedAtMs < *StartedAtMs;
-  if (older && !replacesSilent(report)) {
+  if (older && !replacesSilentServer(report)) {
     return Reason{ErrorCode::Conflict, "a newer instance has already reported"};
   }
   const bool sameStart = start == Start{Server.Instance, StartedAtMs};
@@ -51,14 +52,14 @@
                                        "sequence number was already received"};
   }
   if (!sameStart) {
-    takeStart(report);
+    beginInstance(report);
   }
   Sequence = report.Sequence;
   ReportedAt = Loop.now();
   Successor = {};
-  const bool back = Suspect;
-  Suspect = false;
-  SilentCalls = 0;
+  const bool back = Unresponsive;
+  Unresponsive = false;
+  UnansweredCalls = 0;
   ColdUntil = Loop.now() + report.ColdFor;
   const bool changed = back || !sameStart ||
                        Server.Phase != report.State.Phase ||
@@ -83,7 +84,7 @@
 // start time than its predecessor. Late reports from an ended server also state
 // an earlier time, but they are few and arrive while the current server is
 // still reporting.
-bool BackendService::replacesSilent(const ServerReport &report) {
+bool BackendService::replacesSilentServer(const ServerReport &report) {
   const auto now = Loop.now();
   const Start start{report.State.Instance, report.StartedAtMs};
   if (!(Successor == start)) {
@@ -94,18 +95,18 @@
   }
   const bool reports = report.Sequence > SuccessorSequence;
   SuccessorSequence = std::max(SuccessorSequence, report.Sequence);
-  return reports && now >= ReportedAt + SilentFor &&
-         now >= SuccessorSince + StaysFor;
+  return reports && now >= ReportedAt + ReplaceAfterSilence &&
+         now >= SuccessorSince + MinSuccessorTime;
 }
 
 // A new server instance runs at the address: discards the state of the previous
 // one.
-void BackendService::takeStart(const ServerReport &report) {
-  if (Loop.now() < InterruptedAt + CrashMemory) {
+void BackendService::beginInstance(const ServerReport &report) {
+  if (Loop.now() < InterruptedAt + CrashAttributionWindow) {
     reportCrash();
   }
   Interrupted.clear();
-  endPresent();
+  endCurrentInstance();
   StartedAtMs = report.StartedAtMs;
   Upstream = report.Server;
   Client.closeIdle();
@@ -115,10 +116,10 @@
   }
 }
 
-void BackendService::endPresent() {
+void BackendService::endCurrentInstance() {
   if (!Server.Instance.empty()) {
     EndedStarts.push_back({Server.Instance, StartedAtMs});
-    if (EndedStarts.size() > MaxEnded) {
+    if (EndedStarts.size() > MaxEndedStarts) {
       EndedStarts.pop_front();
     }
   }
@@ -130,7 +131,7 @@
     return Reason{ErrorCode::NotFound, "the instance is not the current one"};
   }
   Lines.info("backend server shut down", {{"instance", instance}});
-  endPresent();
+  endCurrentInstance();
   updateGate();
   Changed();
   return Done{};
@@ -147,7 +148,7 @@
   // The configuration states the request rate allowed for a cold server.
   const auto *service =
       Orders.routes() ? Orders.routes()->service(Server.Service) : nullptr;
-  const bool takesWork = Server.Phase == ServerPhase::Ready && !Suspect &&
+  const bool takesWork = Server.Phase == ServerPhase::Ready && !Unresponsive &&
                          !Leaving && service != nullptr &&
                          !Orders.isEvacuated(DataCentre);
   if (!takesWork) {
@@ -180,7 +181,7 @@
 }
 
 BackendCallId BackendService::run(CallMessage call, CallReply reply,
-                                  StillWanted stillWanted) {
+                                  CallerWaiting callerWaiting) {
   const auto id = static_cast<BackendCallId>(++NextCall);
   const auto reason = reasonToRefuse(call);
   if (reason != ErrorCode::Ok) {
@@ -203,7 +204,7 @@
   auto &entry = Calls[id];
   entry.Message = std::move(call);
   entry.Reply = std::move(reply);
-  entry.IsWanted = std::move(stillWanted);
+  entry.IsCallerWaiting = std::move(callerWaiting);
   entry.Digest = digest;
   if (offer.Kind == Admitted::Run) {
     send(id);
@@ -228,7 +229,7 @@
   http.Deadline = call.Message.Deadline + AnswerGrace;
   http.AcceptUnframed = true;
   if (!call.Message.Repeatable) {
-    http.ReuseUsedSince = now - FreshFor;
+    http.ReuseUsedSince = now - MaxReuseIdleTime;
   }
   // An answer without a request ID is accepted only as the first one on its
   // connection; otherwise it may be a late answer to an earlier request.
@@ -285,27 +286,27 @@
                        result.Status >= FirstServerError &&
                        Refused.explains(Loop.now());
   count(it->second, result, latency);
-  noteInterruption(it->second, result);
+  recordInterruption(it->second, result);
   const bool answered = result.Result == Outcome::Answered;
   finish(id, std::move(result),
          answered ? std::optional<Duration>(latency) : std::nullopt);
   if (refusedConnection) {
     reportCrash();
-    noteSilence();
+    markUnresponsive();
   } else if (!silent) {
-    SilentCalls = 0;
+    UnansweredCalls = 0;
     AnsweredAt = Loop.now();
-  } else if (++SilentCalls >= MaxSilentCalls &&
-             Loop.now() >= AnsweredAt + AliveFor) {
-    noteSilence();
+  } else if (++UnansweredCalls >= MaxUnansweredCalls &&
+             Loop.now() >= AnsweredAt + RecentAnswerWindow) {
+    markUnresponsive();
   }
 }
 
 // A broken connection alone does not prove a crash: a live server can lose
 // single answers. Interrupted requests are reported once the server is found to
 // be down.
-void BackendService::noteInterruption(const Call &call,
-                                      const CallResult &result) {
+void BackendService::recordInterruption(const Call &call,
+                                        const CallResult &result) {
   const auto now = Loop.now();
   if (result.Result == Outcome::Answered) {
     if (result.Status < FirstServerError) {
@@ -330,14 +331,14 @@
 }
 
 // Considers the server unresponsive until its next report.
-void BackendService::noteSilence() {
-  if (Suspect || Server.Phase != ServerPhase::Ready) {
+void BackendService::markUnresponsive() {
+  if (Unresponsive || Server.Phase != ServerPhase::Ready) {
     return;
   }
-  Suspect = true;
-  Lines.warn(
-      "backend server unresponsive; no calls until its next report",
-      {{"instance", Server.Instance}, {"calls", std::uint64_t{SilentCalls}}});
+  Unresponsive = true;
+  Lines.warn("backend server unresponsive; no calls until its next report",
+             {{"instance", Server.Instance},
+              {"calls", std::uint64_t{UnansweredCalls}}});
   updateGate();
   Changed();
 }
@@ -416,8 +417,8 @@
     if (it == Calls.end()) {
       continue;
     }
-    const auto isWanted = it->second.IsWanted;
-    if (isWanted && !isWanted()) {
+    const auto isCallerWaiting = it->second.IsCallerWaiting;
+    if (isCallerWaiting && !isCallerWaiting()) {
       cancel(id);
     }
     if (Calls.count(id) > 0) {
--- a/tests/unit/backend_service_test.cpp
+++ b/tests/unit/backend_service_test.cpp
@@ -273,7 +273,7 @@
     call(false);
   }
   CHECK(f.Backend.gate().Limit > 0);
-  const auto later = f.Loop.now() + BackendService::AliveFor;
+  const auto later = f.Loop.now() + BackendService::RecentAnswerWindow;
   runUntil(f.Loop, [&] { return f.Loop.now() >= later; });
   call(false);
   CHECK(f.Backend.gate().Limit == 0);
