--- a/include/chivefold/sidecar/fleet_service.h
+++ b/include/chivefold/sidecar/fleet_service.h
@@ -17,7 +17,7 @@
 namespace chivefold {
 
 /** State of other services that hello messages carry along. */
-struct GreetingExtras {
+struct PiggybackedState {
   /** End offset of the operator's stream as known to the sender. */
   std::uint64_t OperatorEnd = 0;
   /** Time since the store confirmed that the stream ends there. */
@@ -58,10 +58,10 @@
   static constexpr Duration MinStorePause = std::chrono::milliseconds(100);
   static constexpr Duration MaxStorePause = std::chrono::milliseconds(800);
 
-  using Extras = std::function<GreetingExtras()>;
+  using Extras = std::function<PiggybackedState()>;
   /** Called when a hello message or an answer to one arrives from @p from. */
   using Heard =
-      std::function<void(const Address &from, const GreetingExtras &)>;
+      std::function<void(const Address &from, const PiggybackedState &)>;
 
   /** @param own address of this host. @param self returns its current state.
    * @param changed called when the table has changed. The references must
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -258,7 +258,7 @@
 }
 
 void FleetService::takeExtras(const Address &peer, wire::HelloT &hello) {
-  GreetingExtras extras;
+  PiggybackedState extras;
   extras.OperatorEnd = hello.operator_end;
   extras.RolloutDigest = hello.rollout_digest;
   extras.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -153,7 +153,7 @@
   });
 }
 
-void OrderFeed::onPeer(const Address &peer, const GreetingExtras &extras) {
+void OrderFeed::onPeer(const Address &peer, const PiggybackedState &extras) {
   if (extras.OperatorEnd <= State.end()) {
     ConfirmedAt = std::max(ConfirmedAt, Loop.now() - extras.Unconfirmed);
     return;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -116,11 +116,11 @@
           Loop, Network, store, Hosts, Plan, Own.PeerListen,
           [this] { return self(); },
           [this] {
-            return GreetingExtras{
+            return PiggybackedState{
                 Orders.end(), Feed.unconfirmedFor(), Rollouts.digest(),
                 Poison.deathsToSend(PoisonService::DeathsPerProbe)};
           },
-          [this](const Address &from, const GreetingExtras &extras) {
+          [this](const Address &from, const PiggybackedState &extras) {
             Feed.onPeer(from, extras);
             Rollouts.onPeer(from, extras.RolloutDigest);
             Poison.onDeaths(extras.Deaths);
--- a/tests/unit/order_feed_test.cpp
+++ b/tests/unit/order_feed_test.cpp
@@ -277,7 +277,7 @@
   Feeds feeds;
   auto &host = *feeds.All[0];
   const auto before = host.Feed->unconfirmedFor();
-  GreetingExtras extras;
+  PiggybackedState extras;
   extras.OperatorEnd = host.State.end();
   extras.Unconfirmed = before + std::chrono::hours(1);
   host.Feed->onPeer(feeds.All[1]->Network.bound(), extras);
