--- a/include/chivefold/sidecar/fleet_service.h
+++ b/include/chivefold/sidecar/fleet_service.h
@@ -47,20 +47,21 @@
 public:
   /** Interval between rounds of probes. */
   static constexpr Duration ProbeInterval = std::chrono::milliseconds(500);
-  static constexpr Duration GreetTimeout = std::chrono::milliseconds(800);
+  static constexpr Duration HelloTimeout = std::chrono::milliseconds(800);
   /** Maximum number of hosts probed per round. */
   static constexpr std::size_t MaxProbes = 64;
   /** Minimum interval between requests for address lists; doubles up to
-   * MaxAddressPause while the answers contain no new address. */
-  static constexpr Duration MinAddressPause = std::chrono::seconds(2);
-  static constexpr Duration MaxAddressPause = std::chrono::seconds(30);
+   * MaxAddressRequestInterval while the answers contain no new address. */
+  static constexpr Duration MinAddressRequestInterval = std::chrono::seconds(2);
+  static constexpr Duration MaxAddressRequestInterval =
+      std::chrono::seconds(30);
   static constexpr Duration StoreTimeout = std::chrono::milliseconds(1000);
-  static constexpr Duration MinStorePause = std::chrono::milliseconds(100);
-  static constexpr Duration MaxStorePause = std::chrono::milliseconds(800);
+  static constexpr Duration MinStoreRetryDelay = std::chrono::milliseconds(100);
+  static constexpr Duration MaxStoreRetryDelay = std::chrono::milliseconds(800);
 
-  using Extras = std::function<PiggybackedState()>;
+  using PiggybackProvider = std::function<PiggybackedState()>;
   /** Called when a hello message or an answer to one arrives from @p from. */
-  using Heard =
+  using HelloObserver =
       std::function<void(const Address &from, const PiggybackedState &)>;
 
   /** @param own address of this host. @param self returns its current state.
@@ -68,8 +69,9 @@
    * outlive this object. */
   FleetService(Reactor &reactor, PeerNetwork &network, KeyedStore &store,
                FleetTable &table, AnnouncePlan &plan, Address own,
-               std::function<HostState()> self, Extras extras, Heard heard,
-               std::function<void()> changed, std::uint64_t seed);
+               std::function<HostState()> self, PiggybackProvider extras,
+               HelloObserver onHelloReceived, std::function<void()> changed,
+               std::uint64_t seed);
 
   /** Registers this host and starts probing. Must be called only once. */
   void start();
@@ -89,17 +91,18 @@
   void listHosts(const std::string &afterKey);
   void retryStore(const Reason &reason);
   void probe();
-  void greet(const Address &peer);
-  wire::HelloT hello() const;
+  void sendHello(const Address &peer);
+  wire::HelloT makeHello() const;
   void addAddresses(wire::HelloT &hello) const;
-  void pass(const Address &peer, wire::HelloT hello, HelloRoute route);
-  void take(wire::HelloT &hello);
-  void takeAnnouncement(wire::HelloT &hello);
+  void sendAnnouncement(const Address &peer, wire::HelloT hello,
+                        HelloRoute route);
+  void handleHello(wire::HelloT &hello);
+  void handleAnnouncement(wire::HelloT &hello);
   void relay(const HostState &state, const wire::HelloT &hello);
-  void takeRelayed(const HostState &state);
-  void noteNews(const HostState &state, bool isNew);
-  void takeExtras(const Address &peer, wire::HelloT &hello);
-  void takeAddresses(const wire::HelloT &hello);
+  void handleRelayedAnnouncement(const HostState &state);
+  void onHostChanged(const HostState &state, bool isNew);
+  void deliverPiggyback(const Address &peer, wire::HelloT &hello);
+  void mergeAddresses(const wire::HelloT &hello);
 
   Reactor &Loop;
   PeerNetwork &Network;
@@ -108,15 +111,15 @@
   AnnouncePlan &Plan;
   const Address Own;
   std::function<HostState()> Self;
-  Extras OwnExtras;
-  Heard OnHeard;
+  PiggybackProvider OwnPiggyback;
+  HelloObserver OnHelloReceived;
   std::function<void()> Changed;
   std::mt19937_64 Random;
   /** The address digest in the last hello message differed from that of this
    * host. */
   bool AddressesDiffer = false;
-  TimePoint NextAddresses{};
-  Duration AddressPause = MinAddressPause;
+  TimePoint NextAddressRequestAt{};
+  Duration AddressRequestInterval = MinAddressRequestInterval;
   bool Written = false;
   std::uint32_t StoreFailures = 0;
   Logger Lines{"fleet"};
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -46,12 +46,15 @@
 FleetService::FleetService(Reactor &reactor, PeerNetwork &network,
                            KeyedStore &store, FleetTable &table,
                            AnnouncePlan &plan, Address own,
-                           std::function<HostState()> self, Extras extras,
-                           Heard heard, std::function<void()> changed,
-                           std::uint64_t seed)
+                           std::function<HostState()> self,
+                           PiggybackProvider extras,
+                           HelloObserver onHelloReceived,
+                           std::function<void()> changed, std::uint64_t seed)
     : Loop(reactor), Network(network), Store(store), Table(table), Plan(plan),
-      Own(std::move(own)), Self(std::move(self)), OwnExtras(std::move(extras)),
-      OnHeard(std::move(heard)), Changed(std::move(changed)), Random(seed) {}
+      Own(std::move(own)), Self(std::move(self)),
+      OwnPiggyback(std::move(extras)),
+      OnHelloReceived(std::move(onHelloReceived)), Changed(std::move(changed)),
+      Random(seed) {}
 
 void FleetService::start() {
   Table.update(Self(), Loop.now());
@@ -84,13 +87,13 @@
                for (const auto &it : batch->Records) {
                  const auto peer = parseAddress(it.Key);
                  if (peer && Table.addAddress(*peer, Loop.now())) {
-                   greet(*peer);
+                   sendHello(*peer);
                  }
                }
                if (batch->HasMore && !batch->Records.empty()) {
                  return listHosts(batch->Records.back().Key);
                }
-               NextAddresses = Loop.now() + AddressPause;
+               NextAddressRequestAt = Loop.now() + AddressRequestInterval;
                Lines.info("registered in the store",
                           {{"hosts", Table.hosts().size()}});
              });
@@ -98,9 +101,9 @@
 
 void FleetService::retryStore(const Reason &reason) {
   constexpr std::uint32_t maxDoublings = 3;
-  const auto pause =
-      std::min(MinStorePause * (1 << std::min(StoreFailures, maxDoublings)),
-               MaxStorePause);
+  const auto pause = std::min(MinStoreRetryDelay *
+                                  (1 << std::min(StoreFailures, maxDoublings)),
+                              MaxStoreRetryDelay);
   ++StoreFailures;
   Lines.warn("registration in the store failed; retrying",
              {{"error", errorName(reason.Code)},
@@ -124,7 +127,7 @@
   auto due = Table.toProbe(now);
   due.resize(std::min(due.size(), MaxProbes));
   for (const auto &it : due) {
-    greet(it);
+    sendHello(it);
   }
   const auto gone = Table.forget(now);
   for (const auto &it : gone) {
@@ -150,36 +153,39 @@
 
 void FleetService::announce() {
   Table.update(Self(), Loop.now());
-  auto news = hello();
+  auto news = makeHello();
   // PoisonService distributes crash records itself; probes repeat them.
   news.deaths.clear();
   for (const auto &it : Plan.targets()) {
-    pass(it.Peer, news, it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
+    sendAnnouncement(it.Peer, news,
+                     it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
   }
 }
 
-void FleetService::pass(const Address &peer, wire::HelloT hello,
-                        HelloRoute route) {
+void FleetService::sendAnnouncement(const Address &peer, wire::HelloT hello,
+                                    HelloRoute route) {
   hello.route = static_cast<std::uint8_t>(route);
   Network.send(peer, frameBody(std::move(hello)));
 }
 
-void FleetService::greet(const Address &peer) {
+void FleetService::sendHello(const Address &peer) {
   if (peer == Own) {
     return;
   }
-  auto greeting = hello();
-  if (AddressesDiffer && Loop.now() >= NextAddresses && Plan.isNear(peer)) {
+  auto greeting = makeHello();
+  if (AddressesDiffer && Loop.now() >= NextAddressRequestAt &&
+      Plan.isNear(peer)) {
     greeting.wants_addresses = true;
-    NextAddresses = Loop.now() + AddressPause;
-    AddressPause = std::min(2 * AddressPause, MaxAddressPause);
+    NextAddressRequestAt = Loop.now() + AddressRequestInterval;
+    AddressRequestInterval =
+        std::min(2 * AddressRequestInterval, MaxAddressRequestInterval);
   }
   Network.request(
-      peer, frameBody(std::move(greeting)), Loop.now() + GreetTimeout,
+      peer, frameBody(std::move(greeting)), Loop.now() + HelloTimeout,
       [this, peer](PeerOutcome outcome) {
         auto *answer = outcome.Answer ? outcome.Answer->AsHello() : nullptr;
         if (answer != nullptr) {
-          take(*answer);
+          handleHello(*answer);
           return;
         }
         const auto *known = Table.find(peer);
@@ -193,9 +199,9 @@
       });
 }
 
-wire::HelloT FleetService::hello() const {
+wire::HelloT FleetService::makeHello() const {
   const auto self = Self();
-  auto extras = OwnExtras();
+  auto extras = OwnPiggyback();
   wire::HelloT out;
   out.address = addressToWire(self.Peer);
   out.data_centre = self.DataCentre;
@@ -220,17 +226,17 @@
   }
 }
 
-void FleetService::takeAddresses(const wire::HelloT &hello) {
+void FleetService::mergeAddresses(const wire::HelloT &hello) {
   for (const auto &it : hello.addresses) {
     const auto peer = fromWire(it.get());
     if (peer && Table.addAddress(*peer, Loop.now())) {
-      AddressPause = MinAddressPause;
-      greet(*peer);
+      AddressRequestInterval = MinAddressRequestInterval;
+      sendHello(*peer);
     }
   }
 }
 
-void FleetService::noteNews(const HostState &state, bool isNew) {
+void FleetService::onHostChanged(const HostState &state, bool isNew) {
   Lines.info(isNew ? "host discovered" : "host state changed",
              {{"host", toString(state.Peer)},
               {"sequence", state.Sequence},
@@ -242,7 +248,7 @@
 }
 
 // Handles a hello message, or the answer to one, sent by the host it describes.
-void FleetService::take(wire::HelloT &hello) {
+void FleetService::handleHello(wire::HelloT &hello) {
   const auto state = stateOf(hello);
   if (!state || state->Peer == Own) {
     return;
@@ -250,35 +256,35 @@
   const auto *known = Table.find(state->Peer);
   const bool isNew = known == nullptr || !known->reachable();
   if (Table.update(*state, Loop.now())) {
-    noteNews(*state, isNew);
+    onHostChanged(*state, isNew);
   }
-  takeAddresses(hello);
+  mergeAddresses(hello);
   AddressesDiffer = hello.address_digest != Table.addressDigest();
-  takeExtras(state->Peer, hello);
+  deliverPiggyback(state->Peer, hello);
 }
 
-void FleetService::takeExtras(const Address &peer, wire::HelloT &hello) {
+void FleetService::deliverPiggyback(const Address &peer, wire::HelloT &hello) {
   PiggybackedState extras;
   extras.OperatorEnd = hello.operator_end;
   extras.RolloutDigest = hello.rollout_digest;
   extras.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
   extras.Deaths = std::move(hello.deaths);
-  OnHeard(peer, extras);
+  OnHelloReceived(peer, extras);
 }
 
-void FleetService::takeAnnouncement(wire::HelloT &hello) {
+void FleetService::handleAnnouncement(wire::HelloT &hello) {
   const auto state = stateOf(hello);
   if (!state || state->Peer == Own) {
     return;
   }
   const auto route = static_cast<HelloRoute>(hello.route);
   if (route == HelloRoute::Relayed) {
-    return takeRelayed(*state);
+    return handleRelayedAnnouncement(*state);
   }
   if (route == HelloRoute::ToRelay) {
     relay(*state, hello);
   }
-  take(hello);
+  handleHello(hello);
 }
 
 // Forwards an announcement within the data centre if its state is new to this
@@ -293,18 +299,18 @@
     return;
   }
   for (const auto &it : Plan.relayTargets(state.Peer)) {
-    pass(it, hello, HelloRoute::Relayed);
+    sendAnnouncement(it, hello, HelloRoute::Relayed);
   }
 }
 
-void FleetService::takeRelayed(const HostState &state) {
+void FleetService::handleRelayedAnnouncement(const HostState &state) {
   const auto *known = Table.find(state.Peer);
   const bool isNew = known == nullptr || !known->reachable();
   switch (Table.updateFromOther(state, Loop.now())) {
   case Hearsay::News:
-    return noteNews(state, isNew);
+    return onHostChanged(state, isNew);
   case Hearsay::Unsure:
-    return greet(state.Peer);
+    return sendHello(state.Peer);
   case Hearsay::Old:
     return;
   }
@@ -313,10 +319,10 @@
 void FleetService::onHello(wire::HelloT &request,
                            const PeerResponder &respond) {
   if (!respond) {
-    return takeAnnouncement(request);
+    return handleAnnouncement(request);
   }
-  take(request);
-  auto answer = hello();
+  handleHello(request);
+  auto answer = makeHello();
   if (request.wants_addresses &&
       request.address_digest != answer.address_digest) {
     addAddresses(answer);
