--- a/include/chivefold/sidecar/order_feed.h
+++ b/include/chivefold/sidecar/order_feed.h
@@ -23,7 +23,7 @@
 namespace chivefold {
 
 /** Dependencies of OrderFeed; all must outlive it. */
-struct OrderFeedParts {
+struct OrderFeedDependencies {
   KeyedStore &Store;
   PeerNetwork &Network;
   OperatorState &State;
@@ -44,18 +44,19 @@
 class OrderFeed {
 public:
   /** Time after which the store answers a long poll without a record. Together
-   * with AnswerSlack it bounds the delay of an order by a lost poll. */
-  static constexpr Duration PollTime = std::chrono::milliseconds(1000);
-  static constexpr Duration AnswerSlack = std::chrono::milliseconds(500);
+   * with PollAnswerMargin it bounds the delay of an order by a lost poll. */
+  static constexpr Duration LongPollTime = std::chrono::milliseconds(1000);
+  static constexpr Duration PollAnswerMargin = std::chrono::milliseconds(500);
   static constexpr Duration ListTimeout = std::chrono::milliseconds(1000);
-  static constexpr Duration MinPause = std::chrono::milliseconds(100);
-  static constexpr Duration MaxPause = std::chrono::milliseconds(500);
+  static constexpr Duration MinRetryDelay = std::chrono::milliseconds(100);
+  static constexpr Duration MaxRetryDelay = std::chrono::milliseconds(500);
   static constexpr Duration FetchTimeout = std::chrono::milliseconds(400);
   /** A reader without an answer from the store for this time fetches from its
    * peers. */
-  static constexpr Duration StaleAfter = std::chrono::milliseconds(800);
+  static constexpr Duration StoreSilenceLimit = std::chrono::milliseconds(800);
   /** Interval between checks of whether this host must read the store. */
-  static constexpr Duration DutyInterval = std::chrono::milliseconds(250);
+  static constexpr Duration ReaderCheckInterval =
+      std::chrono::milliseconds(250);
   /** A host that is not a reader reads the store if its end offset has not been
    * confirmed for this time. */
   static constexpr Duration MaxUnconfirmed = std::chrono::milliseconds(2500);
@@ -66,17 +67,17 @@
   /** Delay before records are fetched from another data centre, during which a
    * host of the own data centre may offer them. Saves traffic between data
    * centres: a configuration can have 256 KB. */
-  static constexpr Duration PreferNear = std::chrono::milliseconds(400);
+  static constexpr Duration RemoteFetchDelay = std::chrono::milliseconds(400);
   /** Larger values are compressed before they are sent to other hosts. Without
    * compression, four fetches of a configuration occupy the link of a small
    * host for 0.4 s. */
-  static constexpr std::size_t MaxPlainBytes = 1024;
+  static constexpr std::size_t MaxUncompressedBytes = 1024;
   /** Maximum number of remembered hosts from which records can be fetched. */
   static constexpr std::size_t MaxSources = 4;
 
   /** @param own address of this host. @param changed called after records have
    * been applied. */
-  OrderFeed(Reactor &reactor, const OrderFeedParts &parts, Address own,
+  OrderFeed(Reactor &reactor, const OrderFeedDependencies &parts, Address own,
             std::function<void(const OperatorChange &)> changed,
             std::uint64_t seed);
 
@@ -97,28 +98,28 @@
 
   /** @return whether the operator may have written records that this host does
    * not know. */
-  bool mayBeBehind() const { return unconfirmedFor() > MaxUnconfirmed; }
+  bool mayBeStale() const { return unconfirmedFor() > MaxUnconfirmed; }
 
 private:
-  void checkDuty();
+  void checkReaderRole();
   void list(const std::string &afterKey);
   void onListed(const Result<KeyedBatch> &batch);
   void poll();
   void onPolled(const Result<KeyedBatch> &batch);
-  void pause(const Reason &reason, bool relist);
+  void scheduleRetry(const Reason &reason, bool relist);
   void apply(const std::vector<KeyedRecord> &records);
   void report(const OperatorChange &change);
-  void storeAnswered();
-  void learnOfMore(const Address &peer, std::uint64_t end);
+  void onStoreAnswered();
+  void onNewerEndOffset(const Address &peer, std::uint64_t end);
   void fetchFromSource();
   void fetch(const Address &peer);
-  void takeOrders(wire::OrdersT &orders);
-  Result<KeyedRecord> recordOf(wire::KeyedRecordT &from);
+  void applyOrders(wire::OrdersT &orders);
+  Result<KeyedRecord> decodeRecord(wire::KeyedRecordT &from);
   std::unique_ptr<wire::KeyedRecordT> toWire(const KeyedRecord &record);
-  void tellOthers(std::size_t perOtherDataCentre);
+  void notifyPeers(std::size_t perOtherDataCentre);
 
   Reactor &Loop;
-  const OrderFeedParts Parts;
+  const OrderFeedDependencies Parts;
   OperatorState &State;
   const Address Own;
   std::function<void(const OperatorChange &)> Changed;
@@ -126,17 +127,17 @@
   std::vector<KeyedRecord> Listing;
   std::optional<std::uint64_t> ListingEnd;
   /** Offset from which the store is read next. */
-  std::uint64_t Next = 0;
+  std::uint64_t NextReadOffset = 0;
   TimePoint AnsweredAt{};
   /** When the store last had no records unknown to this host. */
   TimePoint ConfirmedAt{};
   /** Compressed value of a record. */
-  struct Packed {
+  struct CompressedValue {
     std::uint64_t Offset = 0;
     std::vector<std::uint8_t> Bytes;
   };
   /** Compressed values by key; bounded by the number of records. */
-  std::map<std::string, Packed> PackedValues;
+  std::map<std::string, CompressedValue> CompressedValues;
   /** A host with more records, and its end offset. */
   struct Source {
     Address Peer;
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -7,7 +7,8 @@
 
 namespace chivefold {
 
-OrderFeed::OrderFeed(Reactor &reactor, const OrderFeedParts &parts, Address own,
+OrderFeed::OrderFeed(Reactor &reactor, const OrderFeedDependencies &parts,
+                     Address own,
                      std::function<void(const OperatorChange &)> changed,
                      std::uint64_t seed)
     : Loop(reactor), Parts(parts), State(parts.State), Own(std::move(own)),
@@ -16,7 +17,8 @@
 void OrderFeed::start() {
   Reading = true;
   list("");
-  Loop.schedule(Loop.now() + DutyInterval, [this] { checkDuty(); });
+  Loop.schedule(Loop.now() + ReaderCheckInterval,
+                [this] { checkReaderRole(); });
 }
 
 Duration OrderFeed::unconfirmedFor() const {
@@ -25,9 +27,10 @@
                                     : std::min(max, Loop.now() - ConfirmedAt);
 }
 
-void OrderFeed::checkDuty() {
-  Loop.schedule(Loop.now() + DutyInterval, [this] { checkDuty(); });
-  if (!Reading && (Parts.Readers.includesOwn() || mayBeBehind())) {
+void OrderFeed::checkReaderRole() {
+  Loop.schedule(Loop.now() + ReaderCheckInterval,
+                [this] { checkReaderRole(); });
+  if (!Reading && (Parts.Readers.includesOwn() || mayBeStale())) {
     poll();
   }
 }
@@ -40,9 +43,9 @@
 
 void OrderFeed::onListed(const Result<KeyedBatch> &batch) {
   if (!batch) {
-    return pause(batch.reason(), true);
+    return scheduleRetry(batch.reason(), true);
   }
-  storeAnswered();
+  onStoreAnswered();
   // The pages are not one snapshot: records behind the end offset of the first
   // page are read again.
   ListingEnd = ListingEnd.value_or(batch->End);
@@ -51,7 +54,7 @@
     return list(batch->Records.back().Key);
   }
   const auto change = State.applyListing(Listing, *ListingEnd);
-  Next = *ListingEnd;
+  NextReadOffset = *ListingEnd;
   Listing.clear();
   ListingEnd.reset();
   Complete = true;
@@ -64,23 +67,25 @@
   const auto now = Loop.now();
   Reading = true;
   // Skips records that were already fetched from peers.
-  Next = std::max(Next, State.end());
+  NextReadOffset = std::max(NextReadOffset, State.end());
   Parts.Store.read(
-      KeyedStream::Orders, Next, now + PollTime, now + PollTime + AnswerSlack,
+      KeyedStream::Orders, NextReadOffset, now + LongPollTime,
+      now + LongPollTime + PollAnswerMargin,
       [this](const Result<KeyedBatch> &batch) { onPolled(batch); });
 }
 
 void OrderFeed::onPolled(const Result<KeyedBatch> &batch) {
   if (!batch) {
-    return pause(batch.reason(), batch.reason().Code == ErrorCode::LogTrimmed);
+    return scheduleRetry(batch.reason(),
+                         batch.reason().Code == ErrorCode::LogTrimmed);
   }
-  storeAnswered();
+  onStoreAnswered();
   ConfirmedAt = Loop.now();
   if (!batch->Records.empty()) {
-    Next = batch->Records.back().Offset + 1;
-    State.advance(Next);
+    NextReadOffset = batch->Records.back().Offset + 1;
+    State.advance(NextReadOffset);
     apply(batch->Records);
-    tellOthers(1);
+    notifyPeers(1);
   }
   Reading = false;
   if (Parts.Readers.includesOwn()) {
@@ -122,7 +127,7 @@
   Changed(change);
 }
 
-void OrderFeed::storeAnswered() {
+void OrderFeed::onStoreAnswered() {
   AnsweredAt = Loop.now();
   if (Failures > 0) {
     Lines.info("the store is available again",
@@ -131,7 +136,7 @@
   }
 }
 
-void OrderFeed::pause(const Reason &reason, bool relist) {
+void OrderFeed::scheduleRetry(const Reason &reason, bool relist) {
   if (Failures == 0) {
     Lines.warn("the store is unavailable; retrying",
                {{"error", errorName(reason.Code)}, {"reason", reason.Message}});
@@ -139,13 +144,13 @@
   Listing.clear();
   ListingEnd.reset();
   constexpr std::uint32_t maxDoublings = 3;
-  const auto longest =
-      std::min(MinPause * (1 << std::min(Failures, maxDoublings)), MaxPause);
+  const auto longest = std::min(
+      MinRetryDelay * (1 << std::min(Failures, maxDoublings)), MaxRetryDelay);
   ++Failures;
   std::uniform_int_distribution<Duration::rep> jitter(longest.count() / 2,
                                                       longest.count());
   Loop.schedule(Loop.now() + Duration(jitter(Random)), [this, relist] {
-    if (relist || !Complete || Next == 0) {
+    if (relist || !Complete || NextReadOffset == 0) {
       list("");
     } else {
       poll();
@@ -158,20 +163,21 @@
     ConfirmedAt = std::max(ConfirmedAt, Loop.now() - extras.Unconfirmed);
     return;
   }
-  const bool storeTells = Reading && Loop.now() < AnsweredAt + StaleAfter;
+  const bool storeTells =
+      Reading && Loop.now() < AnsweredAt + StoreSilenceLimit;
   if (!storeTells) {
-    learnOfMore(peer, extras.OperatorEnd);
+    onNewerEndOffset(peer, extras.OperatorEnd);
   }
 }
 
 void OrderFeed::onNotice(const wire::OrdersNoticeT &notice) {
   const auto peer = fromWire(notice.from.get());
   if (peer && notice.end > State.end()) {
-    learnOfMore(*peer, notice.end);
+    onNewerEndOffset(*peer, notice.end);
   }
 }
 
-void OrderFeed::learnOfMore(const Address &peer, std::uint64_t end) {
+void OrderFeed::onNewerEndOffset(const Address &peer, std::uint64_t end) {
   if (!Fetching && Parts.Plan.isNear(peer)) {
     return fetch(peer);
   }
@@ -180,7 +186,7 @@
     Sources.pop_front();
   }
   if (SourceTimer == TimerId::None) {
-    SourceTimer = Loop.schedule(Loop.now() + PreferNear, [this] {
+    SourceTimer = Loop.schedule(Loop.now() + RemoteFetchDelay, [this] {
       SourceTimer = TimerId::None;
       fetchFromSource();
     });
@@ -209,7 +215,7 @@
                                              ? outcome.Answer->AsOrders()
                                              : nullptr;
                           if (orders != nullptr) {
-                            return takeOrders(*orders);
+                            return applyOrders(*orders);
                           }
                           Lines.info("fetching orders from a host failed",
                                      {{"host", toString(peer)},
@@ -219,7 +225,7 @@
 }
 
 // Sends the end offset of this host to randomly chosen hosts.
-void OrderFeed::tellOthers(std::size_t perOtherDataCentre) {
+void OrderFeed::notifyPeers(std::size_t perOtherDataCentre) {
   wire::OrdersNoticeT notice;
   notice.from = addressToWire(Own);
   notice.end = State.end();
@@ -228,7 +234,7 @@
   }
 }
 
-Result<KeyedRecord> OrderFeed::recordOf(wire::KeyedRecordT &from) {
+Result<KeyedRecord> OrderFeed::decodeRecord(wire::KeyedRecordT &from) {
   KeyedRecord record;
   record.Key = from.key;
   record.Offset = from.offset;
@@ -244,14 +250,14 @@
     return text.reason();
   }
   record.Value = std::move(*text);
-  PackedValues[record.Key] = {record.Offset, std::move(from.value)};
+  CompressedValues[record.Key] = {record.Offset, std::move(from.value)};
   return record;
 }
 
-void OrderFeed::takeOrders(wire::OrdersT &orders) {
+void OrderFeed::applyOrders(wire::OrdersT &orders) {
   std::vector<KeyedRecord> records;
   for (const auto &it : orders.records) {
-    auto record = recordOf(*it);
+    auto record = decodeRecord(*it);
     if (!record) {
       // The end offset is not advanced, so the records are fetched again from
       // another host.
@@ -261,12 +267,12 @@
     }
     records.push_back(std::move(*record));
   }
-  const bool isNews = orders.end > State.end();
+  const bool isUpdate = orders.end > State.end();
   State.advance(orders.end);
   Complete = true;
   apply(records);
-  if (isNews) {
-    tellOthers(0);
+  if (isUpdate) {
+    notifyPeers(0);
   }
 }
 
@@ -279,12 +285,12 @@
   if (!record.Value) {
     return to;
   }
-  if (record.Value->size() <= MaxPlainBytes ||
+  if (record.Value->size() <= MaxUncompressedBytes ||
       record.Value->size() > MaxPackedTextBytes) {
     to->value.assign(record.Value->begin(), record.Value->end());
     return to;
   }
-  auto &packed = PackedValues[record.Key];
+  auto &packed = CompressedValues[record.Key];
   if (packed.Bytes.empty() || packed.Offset != record.Offset) {
     packed = {record.Offset, packText(*record.Value)};
   }
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -83,7 +83,7 @@
                                   const ClientRequest &client) {
   const auto &routes = Parts.Orders.routes();
   // The route may be in a configuration that this daemon has not received yet.
-  const bool mayCome = Parts.Feed.mayBeBehind();
+  const bool mayCome = Parts.Feed.mayBeStale();
   const int status = !routes                   ? 503
                      : client.Hostname.empty() ? 400
                      : mayCome                 ? 503
--- a/tests/unit/order_feed_test.cpp
+++ b/tests/unit/order_feed_test.cpp
@@ -111,7 +111,7 @@
     Plan.emplace(Hosts, Network.bound(), DataCentre, Seed);
     Readers.emplace(Hosts, Network.bound(), DataCentre);
     Feed.emplace(
-        loop, OrderFeedParts{Store, Network, State, *Plan, *Readers},
+        loop, OrderFeedDependencies{Store, Network, State, *Plan, *Readers},
         Network.bound(), [](const OperatorChange &) {}, Seed);
     Feed->start();
   }
@@ -214,7 +214,7 @@
 // daemon held a long poll, and each new configuration completed all of them.
 TEST_CASE("a few hosts read the orders for all", "[orders]") {
   Feeds feeds;
-  feeds.run(OrderFeed::DutyInterval * 2);
+  feeds.run(OrderFeed::ReaderCheckInterval * 2);
   CHECK(feeds.readers() == DataCentres * OrderReaders::PerDataCentre);
   feeds.write(2);
   CHECK(feeds.runUntil([&] { return feeds.knowing(2) == feeds.All.size(); }));
@@ -228,12 +228,13 @@
 // instead of once per data centre.
 TEST_CASE("hosts fetch orders within their data centre", "[orders]") {
   Feeds feeds;
-  feeds.run(OrderFeed::DutyInterval * 2);
+  feeds.run(OrderFeed::ReaderCheckInterval * 2);
   const auto writtenAt = feeds.Loop.now();
   feeds.write(2);
   CHECK(feeds.runUntil([&] { return feeds.knowing(2) == feeds.All.size(); }));
   // If the machine is too slow, hosts may fetch from other data centres.
-  const bool inTime = feeds.Loop.now() < writtenAt + OrderFeed::PreferNear;
+  const bool inTime =
+      feeds.Loop.now() < writtenAt + OrderFeed::RemoteFetchDelay;
   // Each host except the readers is served once, by a host of its data centre.
   std::map<std::string, std::size_t> served;
   for (const auto &it : feeds.All) {
@@ -249,11 +250,11 @@
 // replaced configuration.
 TEST_CASE("hosts whose readers are turned away learn from others", "[orders]") {
   Feeds feeds;
-  feeds.run(OrderFeed::DutyInterval * 2);
+  feeds.run(OrderFeed::ReaderCheckInterval * 2);
   for (std::size_t i = 0; i < feeds.All.size(); ++i) {
     feeds.Stores[i]->Down = feeds.All[i]->DataCentre == "dc0";
   }
-  feeds.run(OrderFeed::PollTime);
+  feeds.run(OrderFeed::LongPollTime);
   feeds.write(3);
   CHECK(feeds.runUntil([&] { return feeds.knowing(3) == feeds.All.size(); }));
 }
@@ -262,11 +263,11 @@
 // store, although it is available to the other hosts.
 TEST_CASE("others read if no reader can", "[orders]") {
   Feeds feeds;
-  feeds.run(OrderFeed::DutyInterval * 2);
+  feeds.run(OrderFeed::ReaderCheckInterval * 2);
   for (std::size_t i = 0; i < feeds.All.size(); ++i) {
     feeds.Stores[i]->Down = feeds.All[i]->Readers->includesOwn();
   }
-  feeds.run(OrderFeed::PollTime);
+  feeds.run(OrderFeed::LongPollTime);
   feeds.write(4);
   CHECK(feeds.runUntil([&] { return feeds.knowing(4) == feeds.All.size(); }));
 }
