--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -245,7 +245,7 @@
     record.Value = std::string(from.value.begin(), from.value.end());
     return record;
   }
-  auto text = unpackText(from.value, from.plain_size);
+  auto text = decompressText(from.value, from.plain_size);
   if (!text) {
     return text.reason();
   }
@@ -286,13 +286,13 @@
     return to;
   }
   if (record.Value->size() <= MaxUncompressedBytes ||
-      record.Value->size() > MaxPackedTextBytes) {
+      record.Value->size() > MaxDecompressedBytes) {
     to->value.assign(record.Value->begin(), record.Value->end());
     return to;
   }
   auto &packed = CompressedValues[record.Key];
   if (packed.Bytes.empty() || packed.Offset != record.Offset) {
-    packed = {record.Offset, packText(*record.Value)};
+    packed = {record.Offset, compressText(*record.Value)};
   }
   to->value = packed.Bytes;
   to->plain_size = static_cast<std::uint32_t>(record.Value->size());
--- a/src/sidecar/packed_text.cpp
+++ b/src/sidecar/packed_text.cpp
@@ -4,7 +4,7 @@
 
 namespace chivefold {
 
-std::vector<std::uint8_t> packText(std::string_view text) {
+std::vector<std::uint8_t> compressText(std::string_view text) {
   auto n = compressBound(static_cast<uLong>(text.size()));
   std::vector<std::uint8_t> out(n);
   // Can fail only if the buffer is too small, which compressBound() rules out.
@@ -14,9 +14,9 @@
   return out;
 }
 
-Result<std::string> unpackText(const std::vector<std::uint8_t> &packed,
-                               std::size_t size) {
-  if (size > MaxPackedTextBytes) {
+Result<std::string> decompressText(const std::vector<std::uint8_t> &packed,
+                                   std::size_t size) {
+  if (size > MaxDecompressedBytes) {
     return Reason{ErrorCode::InvalidRecord,
                   "a compressed record exceeds the size limit"};
   }
--- a/tests/unit/packed_text_test.cpp
+++ b/tests/unit/packed_text_test.cpp
@@ -8,7 +8,7 @@
 // Guards against a configuration that compression changes in transit.
 TEST_CASE("packed text comes back whole", "[packed]") {
   CHECK(rc::check("any text", [](const std::string &text) {
-    const auto back = unpackText(packText(text), text.size());
+    const auto back = decompressText(compressText(text), text.size());
     RC_ASSERT(back.hasValue());
     RC_ASSERT(*back == text);
   }));
@@ -18,15 +18,15 @@
 // accepted in part, or allocates more memory than a record may have.
 TEST_CASE("damaged packed text is refused", "[packed]") {
   const std::string text(5000, 'x');
-  auto packed = packText(text);
-  CHECK_FALSE(unpackText(packed, text.size() - 1));
-  CHECK_FALSE(unpackText(packed, text.size() + 1));
-  CHECK_FALSE(unpackText(packed, MaxPackedTextBytes + 1));
-  CHECK_FALSE(unpackText({}, text.size()));
+  auto packed = compressText(text);
+  CHECK_FALSE(decompressText(packed, text.size() - 1));
+  CHECK_FALSE(decompressText(packed, text.size() + 1));
+  CHECK_FALSE(decompressText(packed, MaxDecompressedBytes + 1));
+  CHECK_FALSE(decompressText({}, text.size()));
   packed.pop_back();
-  CHECK_FALSE(unpackText(packed, text.size()));
+  CHECK_FALSE(decompressText(packed, text.size()));
   CHECK(rc::check("any bytes", [](const std::vector<std::uint8_t> &bytes) {
-    const auto out = unpackText(bytes, 64);
+    const auto out = decompressText(bytes, 64);
     RC_ASSERT(!out || out->size() == 64U);
   }));
 }
