--- a/include/chivefold/sidecar/proxy_service.h
+++ b/include/chivefold/sidecar/proxy_service.h
@@ -26,14 +26,14 @@
 namespace chivefold {
 
 /** Dependencies of ProxyService; all must outlive it. */
-struct ProxyParts {
+struct ProxyDependencies {
   const PlatformPorts &Ports;
   const OperatorState &Orders;
   const OrderFeed &Feed;
   Placement &Servers;
   BackendService &Backend;
   const PoisonService &Poison;
-  Metrics &Figures;
+  Metrics &CallMetrics;
 };
 
 /**
@@ -43,8 +43,9 @@
  */
 class ProxyService {
 public:
-  ProxyService(Reactor &reactor, PeerNetwork &network, const ProxyParts &parts,
-               Address self, std::string callerService);
+  ProxyService(Reactor &reactor, PeerNetwork &network,
+               const ProxyDependencies &parts, Address self,
+               std::string callerService);
   ~ProxyService();
   ProxyService(const ProxyService &) = delete;
   ProxyService &operator=(const ProxyService &) = delete;
@@ -72,7 +73,8 @@
   void sendTo(const RequestPtr &request, const PlacementChoice &choice);
   void onResult(const RequestPtr &request, CallResult result);
   static AttemptEnd endOf(const CallResult &result);
-  void learn(Request &request, const CallResult &result, AttemptEnd end);
+  void updatePlacement(Request &request, const CallResult &result,
+                       AttemptEnd end);
   void decide(const RequestPtr &request, CallResult result, AttemptEnd end);
   void deliver(const RequestPtr &request, CallResult result);
   void refuse(const RequestPtr &request, const CallResult &result);
@@ -86,7 +88,7 @@
 
   Reactor &Loop;
   PeerNetwork &Network;
-  ProxyParts Parts;
+  ProxyDependencies Parts;
   Address Self;
   std::string CallerService;
   bool Leaving = false;
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -64,7 +64,7 @@
 };
 
 ProxyService::ProxyService(Reactor &reactor, PeerNetwork &network,
-                           const ProxyParts &parts, Address self,
+                           const ProxyDependencies &parts, Address self,
                            std::string callerService)
     : Loop(reactor), Network(network), Parts(parts), Self(std::move(self)),
       CallerService(std::move(callerService)) {}
@@ -252,12 +252,12 @@
   request->PeerCall = PeerRequestId::None;
   request->LocalCall = BackendCallId::None;
   const auto end = endOf(result);
-  learn(*request, result, end);
+  updatePlacement(*request, result, end);
   decide(request, std::move(result), end);
 }
 
-void ProxyService::learn(Request &request, const CallResult &result,
-                         AttemptEnd end) {
+void ProxyService::updatePlacement(Request &request, const CallResult &result,
+                                   AttemptEnd end) {
   const auto now = Loop.now();
   auto &servers = Parts.Servers;
   if (end == AttemptEnd::RefusedByGate || end == AttemptEnd::NotSent) {
@@ -427,7 +427,7 @@
                 response.Status < FirstServerError &&
                 held <= request->Route->TargetLatency;
   sample.Latency = held;
-  Parts.Figures.record(now, sample);
+  Parts.CallMetrics.record(now, sample);
   if (outcome != Outcome::Answered) {
     Parts.Backend.refusedCalls().note(request->Route->Name, now);
     Lines.info("request failed",
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -76,7 +76,7 @@
   AnnouncePlan Plan;
   OrderReaders Readers;
   Placement Servers;
-  Metrics Figures;
+  Metrics CallMetrics;
   HttpClient ServerHttp;
   PeerNetwork Network;
   PoisonService Poison;
@@ -102,7 +102,7 @@
       Plan(Hosts, Own.PeerListen, Own.DataCentre, Seeds()),
       Readers(Hosts, Own.PeerListen, Own.DataCentre),
       Servers(Hosts, Orders, Versions, Own.PeerListen, Own.DataCentre, Seeds()),
-      Figures(MetricsSettings()), ServerHttp(Loop, InitialConnections),
+      CallMetrics(MetricsSettings()), ServerHttp(Loop, InitialConnections),
       Network(Loop, Own.PeerListen,
               [this](const Address & /*link*/, wire::FrameBodyUnion &body,
                      const PeerResponder &respond) { onFrame(body, respond); }),
@@ -134,7 +134,7 @@
                quickRolloutSettings(Own.Exposure), Own.PeerListen,
                [this] { Servers.refresh(); }),
       Proxy(Loop, Network,
-            {ports, Orders, Feed, Servers, Backend, Poison, Figures},
+            {ports, Orders, Feed, Servers, Backend, Poison, CallMetrics},
             Own.PeerListen, Own.Service),
       CallerServer(Loop, Own.CallerListen,
                    [this](const std::shared_ptr<HttpExchange> &exchange) {
@@ -247,10 +247,10 @@
     break;
   }
   if (request.Path == "/-/metrics") {
-    return exchange->respond(
-        {200,
-         {{"Content-Type", "text/plain"}},
-         toPrometheus(Figures.report(Loop.now())) + trafficMetrics(Network)});
+    return exchange->respond({200,
+                              {{"Content-Type", "text/plain"}},
+                              toPrometheus(CallMetrics.report(Loop.now())) +
+                                  trafficMetrics(Network)});
   }
   if (request.Path == "/-/ready") {
     return exchange->respond({isReady() ? 200 : 503, {}, ""});
