--- a/include/chivefold/sidecar/rollout_service.h
+++ b/include/chivefold/sidecar/rollout_service.h
@@ -21,7 +21,7 @@
 namespace chivefold {
 
 /** Dependencies of RolloutService; all must outlive it. */
-struct RolloutParts {
+struct RolloutDependencies {
   KeyedStore &Store;
   const PlatformPorts &Ports;
   const OperatorState &Orders;
@@ -45,12 +45,13 @@
   static constexpr Duration StoreTimeout = std::chrono::milliseconds(1000);
   static constexpr Duration StatsTimeout = std::chrono::milliseconds(600);
   /** Maximum delay between retries after store failures. */
-  static constexpr Duration MaxStorePause = std::chrono::seconds(1);
+  static constexpr Duration MaxStoreRetryDelay = std::chrono::seconds(1);
 
   /** @param changed called when the progress of a rollout has changed. */
   RolloutService(Reactor &reactor, PeerNetwork &network,
-                 const RolloutParts &parts, const RolloutSettings &settings,
-                 Address self, std::function<void()> changed);
+                 const RolloutDependencies &parts,
+                 const RolloutSettings &settings, Address self,
+                 std::function<void()> changed);
 
   /** Reads the progress from the store and starts controlling rollouts. Must be
    * called only once. */
@@ -86,7 +87,7 @@
     RolloutDriver Driver;
     std::map<Address, HostCounts> Hosts;
     /** Phase last written to the operator's status stream. */
-    std::optional<RolloutPhase> Reported;
+    std::optional<RolloutPhase> ReportedPhase;
     bool Reporting = false;
   };
 
@@ -94,20 +95,20 @@
   void tick();
   void driveOrder(const RolloutOrder &order);
   bool isDriver(const std::string &service) const;
-  void collect(const RolloutOrder &order, Drive &drive);
+  void collectCounts(const RolloutOrder &order, Drive &drive);
   RolloutView viewOf(const RolloutOrder &order, const Drive &drive,
                      const RolloutProgress &progress) const;
   RolloutProgress firstProgress(const RolloutOrder &order) const;
   void decide(const RolloutOrder &order, Drive &drive);
   void write(RolloutProgress progress);
   void reportStatus(const RolloutProgress &progress, Drive &drive);
-  bool take(const RolloutProgress &progress);
-  void spread() const;
+  bool applyProgress(const RolloutProgress &progress);
+  void broadcastProgress() const;
   wire::RolloutsT progressFrame() const;
 
   Reactor &Loop;
   PeerNetwork &Network;
-  RolloutParts Parts;
+  RolloutDependencies Parts;
   const RolloutSettings Settings;
   Address Self;
   std::function<void()> Changed;
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -42,7 +42,7 @@
 } // namespace
 
 RolloutService::RolloutService(Reactor &reactor, PeerNetwork &network,
-                               const RolloutParts &parts,
+                               const RolloutDependencies &parts,
                                const RolloutSettings &settings, Address self,
                                std::function<void()> changed)
     : Loop(reactor), Network(network), Parts(parts), Settings(settings),
@@ -67,7 +67,7 @@
           Lines.warn("reading rollout progress from the store failed",
                      {{"reason", batch.reason().Message}});
           const auto pause = std::min<Duration>(
-              TickInterval * std::min(StoreFailures, 4U), MaxStorePause);
+              TickInterval * std::min(StoreFailures, 4U), MaxStoreRetryDelay);
           if (!StreamEnd) {
             Loop.schedule(Loop.now() + pause, [this] { list(); });
           }
@@ -79,13 +79,13 @@
           if (const auto progress = decode(it)) {
             auto &place = Confirmed[progress->Service];
             place = std::max(place, progress->Offset);
-            take(*progress);
+            applyProgress(*progress);
           }
         }
       });
 }
 
-bool RolloutService::take(const RolloutProgress &progress) {
+bool RolloutService::applyProgress(const RolloutProgress &progress) {
   if (!Parts.Versions.apply(progress)) {
     return false;
   }
@@ -156,7 +156,7 @@
   }
   reportStatus(*known, drive);
   if (!isFinal(known->Phase)) {
-    collect(order, drive);
+    collectCounts(order, drive);
     decide(order, drive);
   }
 }
@@ -183,7 +183,7 @@
   return out;
 }
 
-void RolloutService::collect(const RolloutOrder &order, Drive &drive) {
+void RolloutService::collectCounts(const RolloutOrder &order, Drive &drive) {
   drive.Hosts[Self] = {Parts.Backend.countedVersion(),
                        Parts.Backend.server().Service == order.Service
                            ? Parts.Backend.counts()
@@ -276,8 +276,8 @@
   if (decision.Action == RolloutAction::RollBack) {
     // Removing traffic is always safe, so it takes effect before it is written.
     next.Offset = known.Offset + 1;
-    take(next);
-    spread();
+    applyProgress(next);
+    broadcastProgress();
   }
   write(std::move(next));
 }
@@ -308,8 +308,8 @@
               known->Offset > at) {
             Confirmed[progress.Service] = known->Offset;
           }
-          take(progress);
-          return spread();
+          applyProgress(progress);
+          return broadcastProgress();
         }
         ++StoreFailures;
         Lines.warn("writing rollout progress to the store failed",
@@ -318,7 +318,7 @@
                     {"reason", reason.Message}});
         NextWrite = Loop.now() + std::min<Duration>(
                                      TickInterval * std::min(StoreFailures, 4U),
-                                     MaxStorePause);
+                                     MaxStoreRetryDelay);
         // Another driver may have written, or this append may have succeeded.
         list();
       });
@@ -326,7 +326,7 @@
 
 void RolloutService::reportStatus(const RolloutProgress &progress,
                                   Drive &drive) {
-  if (drive.Reporting || drive.Reported == progress.Phase ||
+  if (drive.Reporting || drive.ReportedPhase == progress.Phase ||
       Loop.now() < NextWrite) {
     return;
   }
@@ -344,7 +344,7 @@
         }
         it->second.Reporting = false;
         if (end == AppendOutcome::Written) {
-          it->second.Reported = progress.Phase;
+          it->second.ReportedPhase = progress.Phase;
           Lines.info("rollout status written",
                      {{"service", progress.Service},
                       {"phase", rolloutPhaseName(progress.Phase)}});
@@ -365,7 +365,7 @@
   return out;
 }
 
-void RolloutService::spread() const {
+void RolloutService::broadcastProgress() const {
   for (const auto &it : Parts.Fleet.hosts()) {
     if (it.first != Self && it.second.reachable()) {
       Network.send(it.first, frameBody(progressFrame()));
@@ -377,7 +377,7 @@
   for (const auto &it : rollouts.entries) {
     const auto progress = fromWire(*it);
     if (progress) {
-      take(*progress);
+      applyProgress(*progress);
     }
   }
 }
