--- a/include/chivefold/sidecar/sidecar.h
+++ b/include/chivefold/sidecar/sidecar.h
@@ -38,8 +38,8 @@
   void stop();
 
 private:
-  struct Parts;
-  std::unique_ptr<Parts> All;
+  struct Impl;
+  std::unique_ptr<Impl> Implementation;
 };
 
 } // namespace chivefold
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -17,13 +17,13 @@
 constexpr std::size_t InitialConnections = 16;
 /** Time after a stop during which clients may still send requests: the platform
  * removes a host after two failed readiness checks, one per second. */
-constexpr Duration StopNotice = std::chrono::milliseconds(2600);
+constexpr Duration DeregistrationDelay = std::chrono::milliseconds(2600);
 /** Part of the grace period reserved for the exit of the process. */
 constexpr Duration ExitReserve = std::chrono::milliseconds(500);
-constexpr Duration DrainCheck = std::chrono::milliseconds(50);
+constexpr Duration DrainCheckInterval = std::chrono::milliseconds(50);
 /** Without known peers, the daemon is ready after this time: the fleet may
  * consist of one host. */
-constexpr Duration LonelyReadiness = std::chrono::milliseconds(1500);
+constexpr Duration SingleHostReadyDelay = std::chrono::milliseconds(1500);
 /** Interval between log lines about traffic to other daemons. */
 constexpr Duration TrafficInterval = std::chrono::seconds(10);
 
@@ -42,9 +42,9 @@
 
 } // namespace
 
-struct Sidecar::Parts {
-  Parts(Reactor &reactor, SidecarSettings settings, const PlatformPorts &ports,
-        KeyedStore &store, std::uint64_t seed);
+struct Sidecar::Impl {
+  Impl(Reactor &reactor, SidecarSettings settings, const PlatformPorts &ports,
+       KeyedStore &store, std::uint64_t seed);
 
   HostState self() const;
   void onFrame(wire::FrameBodyUnion &body, const PeerResponder &respond);
@@ -93,9 +93,9 @@
   Logger Lines{"sidecar"};
 };
 
-Sidecar::Parts::Parts(Reactor &reactor, SidecarSettings settings,
-                      const PlatformPorts &ports, KeyedStore &store,
-                      std::uint64_t seed)
+Sidecar::Impl::Impl(Reactor &reactor, SidecarSettings settings,
+                    const PlatformPorts &ports, KeyedStore &store,
+                    std::uint64_t seed)
     : Loop(reactor), Own(std::move(settings)), Ports(ports), Seeds(seed),
       BootId(Seeds()), StartedAt(Loop.now()), Orders(ports.Orders),
       Versions(Orders), Hosts(Seeds()),
@@ -151,7 +151,7 @@
   Network.onCancel([this](std::uint64_t token) { onCancel(token); });
 }
 
-HostState Sidecar::Parts::self() const {
+HostState Sidecar::Impl::self() const {
   HostState out;
   out.Peer = Own.PeerListen;
   out.DataCentre = Own.DataCentre;
@@ -163,19 +163,19 @@
   return out;
 }
 
-bool Sidecar::Parts::isReady() const {
-  const bool knowsPeers =
-      Hosts.hosts().size() > 1 || Loop.now() >= StartedAt + LonelyReadiness;
+bool Sidecar::Impl::isReady() const {
+  const bool knowsPeers = Hosts.hosts().size() > 1 ||
+                          Loop.now() >= StartedAt + SingleHostReadyDelay;
   return !Leaving && Orders.routes() != nullptr && knowsPeers;
 }
 
-void Sidecar::Parts::onServerChanged() {
+void Sidecar::Impl::onServerChanged() {
   ++Sequence;
   Fleet.announce();
   Servers.refresh();
 }
 
-void Sidecar::Parts::onOrders(const OperatorChange &change) {
+void Sidecar::Impl::onOrders(const OperatorChange &change) {
   if (change.Configuration) {
     const auto &limits = Orders.routes()->configuration().Limits;
     CallerServer.setLimits({limits.MaxHeaderBytes, limits.MaxBodyBytes,
@@ -186,8 +186,8 @@
   Servers.refresh();
 }
 
-void Sidecar::Parts::onFrame(wire::FrameBodyUnion &body,
-                             const PeerResponder &respond) {
+void Sidecar::Impl::onFrame(wire::FrameBodyUnion &body,
+                            const PeerResponder &respond) {
   switch (body.type) {
   case wire::FrameBody::CallRequest:
     return onCall(*body.AsCallRequest(), respond);
@@ -210,8 +210,8 @@
   }
 }
 
-void Sidecar::Parts::onCall(wire::CallRequestT &request,
-                            const PeerResponder &respond) {
+void Sidecar::Impl::onCall(wire::CallRequestT &request,
+                           const PeerResponder &respond) {
   if (!respond) {
     return;
   }
@@ -228,7 +228,7 @@
   }
 }
 
-void Sidecar::Parts::onCancel(std::uint64_t token) {
+void Sidecar::Impl::onCancel(std::uint64_t token) {
   const auto it = PeerCalls.find(token);
   if (it != PeerCalls.end()) {
     Backend.cancel(it->second);
@@ -236,7 +236,7 @@
   }
 }
 
-void Sidecar::Parts::onAdmin(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onAdmin(const std::shared_ptr<HttpExchange> &exchange) {
   const auto &request = exchange->request();
   switch (Ports.Reports.requestKind(request)) {
   case AdminRequestKind::Report:
@@ -258,7 +258,7 @@
   exchange->respond({404, {}, ""});
 }
 
-void Sidecar::Parts::onReport(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onReport(const std::shared_ptr<HttpExchange> &exchange) {
   const auto report = Ports.Reports.report(exchange->request());
   const auto taken = report ? Backend.report(*report) : Status(report.reason());
   if (!taken) {
@@ -273,7 +273,7 @@
       {readable ? 200 : 400, {{"Content-Type", "application/json"}}, "{}"});
 }
 
-void Sidecar::Parts::onLeave(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onLeave(const std::shared_ptr<HttpExchange> &exchange) {
   const auto instance = Ports.Reports.leaving(exchange->request());
   const auto taken = Backend.leave(instance);
   if (!taken) {
@@ -283,7 +283,7 @@
   exchange->respond({200, {{"Content-Type", "application/json"}}, "{}"});
 }
 
-void Sidecar::Parts::logTraffic() {
+void Sidecar::Impl::logTraffic() {
   for (const auto &it : Network.traffic()) {
     Lines.info("frames sent to other daemons",
                {{"kind", it.Kind}, {"frames", it.Frames}, {"bytes", it.Bytes}});
@@ -293,7 +293,7 @@
 
 // Accepts new requests until @p earliest, then finishes open ones until @p
 // latest and stops the reactor.
-void Sidecar::Parts::drain(TimePoint earliest, TimePoint latest) {
+void Sidecar::Impl::drain(TimePoint earliest, TimePoint latest) {
   const auto now = Loop.now();
   if (now >= earliest && !Closed) {
     Closed = true;
@@ -307,62 +307,67 @@
     Loop.stop();
     return;
   }
-  Loop.schedule(now + DrainCheck,
+  Loop.schedule(now + DrainCheckInterval,
                 [this, earliest, latest] { drain(earliest, latest); });
 }
 
 Sidecar::Sidecar(Reactor &reactor, SidecarSettings settings,
                  const PlatformPorts &ports, KeyedStore &store,
                  std::uint64_t seed)
-    : All(std::make_unique<Parts>(reactor, std::move(settings), ports, store,
-                                  seed)) {}
+    : Implementation(std::make_unique<Impl>(reactor, std::move(settings), ports,
+                                            store, seed)) {}
 
 Sidecar::~Sidecar() = default;
 
 Status Sidecar::start() {
   for (auto &started :
-       {All->Network.start(), All->AdminServer.start(),
-        All->ReadinessServer.start(), All->CallerServer.start()}) {
+       {Implementation->Network.start(), Implementation->AdminServer.start(),
+        Implementation->ReadinessServer.start(),
+        Implementation->CallerServer.start()}) {
     if (!started) {
       return started.reason();
     }
   }
-  All->Lines.info("started", {{"data_centre", All->Own.DataCentre},
-                              {"service", All->Own.Service},
-                              {"peer", toString(All->Own.PeerListen)},
-                              {"boot", All->BootId}});
-  All->Fleet.start();
-  All->Feed.start();
-  All->Rollouts.start();
-  All->logTraffic();
+  Implementation->Lines.info(
+      "started", {{"data_centre", Implementation->Own.DataCentre},
+                  {"service", Implementation->Own.Service},
+                  {"peer", toString(Implementation->Own.PeerListen)},
+                  {"boot", Implementation->BootId}});
+  Implementation->Fleet.start();
+  Implementation->Feed.start();
+  Implementation->Rollouts.start();
+  Implementation->logTraffic();
   return Done{};
 }
 
 void Sidecar::reload(const SidecarSettings &settings) {
-  All->Lines.info("settings reloaded", {{"service", settings.Service}});
-  All->Own.Service = settings.Service;
-  All->Proxy.setCallerService(settings.Service);
+  Implementation->Lines.info("settings reloaded",
+                             {{"service", settings.Service}});
+  Implementation->Own.Service = settings.Service;
+  Implementation->Proxy.setCallerService(settings.Service);
   if (!setLogLevel(settings.LogLevel)) {
-    All->Lines.warn("unknown log level", {{"level", settings.LogLevel}});
+    Implementation->Lines.warn("unknown log level",
+                               {{"level", settings.LogLevel}});
   }
 }
 
 void Sidecar::stop() {
-  if (All->Leaving) {
+  if (Implementation->Leaving) {
     return;
   }
-  All->Leaving = true;
-  ++All->Sequence;
-  All->Lines.info("stopping", {{"open_requests", All->Proxy.openRequests()},
-                               {"open_calls", All->Backend.openCalls()}});
-  All->Rollouts.stop();
-  All->Backend.startLeaving();
-  All->Fleet.announce();
-  All->Servers.refresh();
-  All->CallerServer.closeAfterAnswers();
-  const auto now = All->Loop.now();
-  const auto latest = now + All->Own.GracePeriod - ExitReserve;
-  All->drain(std::min(now + StopNotice, latest), latest);
+  Implementation->Leaving = true;
+  ++Implementation->Sequence;
+  Implementation->Lines.info(
+      "stopping", {{"open_requests", Implementation->Proxy.openRequests()},
+                   {"open_calls", Implementation->Backend.openCalls()}});
+  Implementation->Rollouts.stop();
+  Implementation->Backend.startLeaving();
+  Implementation->Fleet.announce();
+  Implementation->Servers.refresh();
+  Implementation->CallerServer.closeAfterAnswers();
+  const auto now = Implementation->Loop.now();
+  const auto latest = now + Implementation->Own.GracePeriod - ExitReserve;
+  Implementation->drain(std::min(now + DeregistrationDelay, latest), latest);
 }
 
 } // namespace chivefold
