--- a/include/chivefold/sidecar/fleet_service.h
+++ b/include/chivefold/sidecar/fleet_service.h
@@ -69,7 +69,7 @@
    * outlive this object. */
   FleetService(Reactor &reactor, PeerNetwork &network, KeyedStore &store,
                FleetTable &table, AnnouncePlan &plan, Address own,
-               std::function<HostState()> self, PiggybackProvider extras,
+               std::function<HostState()> self, PiggybackProvider piggybacked,
                HelloObserver onHelloReceived, std::function<void()> changed,
                std::uint64_t seed);
 
--- a/include/chivefold/sidecar/order_feed.h
+++ b/include/chivefold/sidecar/order_feed.h
@@ -85,7 +85,7 @@
   void start();
 
   /** Handles the end offset and confirmation time in a peer's hello message. */
-  void onPeer(const Address &peer, const PiggybackedState &extras);
+  void onPeer(const Address &peer, const PiggybackedState &piggybacked);
   /** Handles a peer's notice of a new end offset. */
   void onNotice(const wire::OrdersNoticeT &notice);
 
--- a/include/chivefold/sidecar/rollout_service.h
+++ b/include/chivefold/sidecar/rollout_service.h
@@ -117,7 +117,7 @@
   /** End offset of the stream as last known; absent until the first listing. */
   std::optional<std::uint64_t> StreamEnd;
   /** Offset of the newest record that the store confirmed, by service. */
-  std::map<std::string, std::uint64_t> Confirmed;
+  std::map<std::string, std::uint64_t> ConfirmedOffsets;
   bool Writing = false;
   bool Listing = false;
   TimePoint NextWrite{};
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -47,12 +47,12 @@
                            KeyedStore &store, FleetTable &table,
                            AnnouncePlan &plan, Address own,
                            std::function<HostState()> self,
-                           PiggybackProvider extras,
+                           PiggybackProvider piggybacked,
                            HelloObserver onHelloReceived,
                            std::function<void()> changed, std::uint64_t seed)
     : Loop(reactor), Network(network), Store(store), Table(table), Plan(plan),
       Own(std::move(own)), Self(std::move(self)),
-      OwnPiggyback(std::move(extras)),
+      OwnPiggyback(std::move(piggybacked)),
       OnHelloReceived(std::move(onHelloReceived)), Changed(std::move(changed)),
       Random(seed) {}
 
@@ -153,11 +153,11 @@
 
 void FleetService::announce() {
   Table.update(Self(), Loop.now());
-  auto news = makeHello();
+  auto announcement = makeHello();
   // PoisonService distributes crash records itself; probes repeat them.
-  news.deaths.clear();
+  announcement.deaths.clear();
   for (const auto &it : Plan.targets()) {
-    sendAnnouncement(it.Peer, news,
+    sendAnnouncement(it.Peer, announcement,
                      it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
   }
 }
@@ -172,16 +172,16 @@
   if (peer == Own) {
     return;
   }
-  auto greeting = makeHello();
+  auto message = makeHello();
   if (AddressesDiffer && Loop.now() >= NextAddressRequestAt &&
       Plan.isNear(peer)) {
-    greeting.wants_addresses = true;
+    message.wants_addresses = true;
     NextAddressRequestAt = Loop.now() + AddressRequestInterval;
     AddressRequestInterval =
         std::min(2 * AddressRequestInterval, MaxAddressRequestInterval);
   }
   Network.request(
-      peer, frameBody(std::move(greeting)), Loop.now() + HelloTimeout,
+      peer, frameBody(std::move(message)), Loop.now() + HelloTimeout,
       [this, peer](PeerOutcome outcome) {
         auto *answer = outcome.Answer ? outcome.Answer->AsHello() : nullptr;
         if (answer != nullptr) {
@@ -201,7 +201,7 @@
 
 wire::HelloT FleetService::makeHello() const {
   const auto self = Self();
-  auto extras = OwnPiggyback();
+  auto piggybacked = OwnPiggyback();
   wire::HelloT out;
   out.address = addressToWire(self.Peer);
   out.data_centre = self.DataCentre;
@@ -211,11 +211,12 @@
   out.server = toWire(self.Server);
   out.gate = gateToWire(self.Gate);
   out.address_digest = Table.addressDigest();
-  out.operator_end = extras.OperatorEnd;
-  out.rollout_digest = extras.RolloutDigest;
-  out.deaths = std::move(extras.Deaths);
+  out.operator_end = piggybacked.OperatorEnd;
+  out.rollout_digest = piggybacked.RolloutDigest;
+  out.deaths = std::move(piggybacked.Deaths);
   out.unconfirmed_ms = static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(extras.Unconfirmed)
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+          piggybacked.Unconfirmed)
           .count());
   return out;
 }
@@ -264,12 +265,12 @@
 }
 
 void FleetService::deliverPiggyback(const Address &peer, wire::HelloT &hello) {
-  PiggybackedState extras;
-  extras.OperatorEnd = hello.operator_end;
-  extras.RolloutDigest = hello.rollout_digest;
-  extras.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
-  extras.Deaths = std::move(hello.deaths);
-  OnHelloReceived(peer, extras);
+  PiggybackedState piggybacked;
+  piggybacked.OperatorEnd = hello.operator_end;
+  piggybacked.RolloutDigest = hello.rollout_digest;
+  piggybacked.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
+  piggybacked.Deaths = std::move(hello.deaths);
+  OnHelloReceived(peer, piggybacked);
 }
 
 void FleetService::handleAnnouncement(wire::HelloT &hello) {
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -158,15 +158,16 @@
   });
 }
 
-void OrderFeed::onPeer(const Address &peer, const PiggybackedState &extras) {
-  if (extras.OperatorEnd <= State.end()) {
-    ConfirmedAt = std::max(ConfirmedAt, Loop.now() - extras.Unconfirmed);
+void OrderFeed::onPeer(const Address &peer,
+                       const PiggybackedState &piggybacked) {
+  if (piggybacked.OperatorEnd <= State.end()) {
+    ConfirmedAt = std::max(ConfirmedAt, Loop.now() - piggybacked.Unconfirmed);
     return;
   }
   const bool storeTells =
       Reading && Loop.now() < AnsweredAt + StoreSilenceLimit;
   if (!storeTells) {
-    onNewerEndOffset(peer, extras.OperatorEnd);
+    onNewerEndOffset(peer, piggybacked.OperatorEnd);
   }
 }
 
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -77,8 +77,8 @@
         StreamEnd = std::max(StreamEnd.value_or(0), batch->End);
         for (const auto &it : batch->Records) {
           if (const auto progress = decode(it)) {
-            auto &place = Confirmed[progress->Service];
-            place = std::max(place, progress->Offset);
+            auto &offset = ConfirmedOffsets[progress->Service];
+            offset = std::max(offset, progress->Offset);
             applyProgress(*progress);
           }
         }
@@ -148,9 +148,9 @@
   if (known == nullptr || known->OrderOffset < order.Offset) {
     return write(firstProgress(order));
   }
-  const auto confirmed = Confirmed.find(order.Service);
+  const auto confirmed = ConfirmedOffsets.find(order.Service);
   const bool written =
-      confirmed != Confirmed.end() && confirmed->second >= known->Offset;
+      confirmed != ConfirmedOffsets.end() && confirmed->second >= known->Offset;
   if (!written && isFinal(known->Phase)) {
     return write(*known);
   }
@@ -299,14 +299,14 @@
           StoreFailures = 0;
           StreamEnd = at + 1;
           progress.Offset = at;
-          Confirmed[progress.Service] = at;
+          ConfirmedOffsets[progress.Service] = at;
           // A rollback already in force has a provisional offset, which may be
           // greater than that of the record.
           const auto *known = Parts.Versions.progress(progress.Service);
           if (known != nullptr && known->Phase == progress.Phase &&
               known->OrderOffset == progress.OrderOffset &&
               known->Offset > at) {
-            Confirmed[progress.Service] = known->Offset;
+            ConfirmedOffsets[progress.Service] = known->Offset;
           }
           applyProgress(progress);
           return broadcastProgress();
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -120,10 +120,10 @@
                 Orders.end(), Feed.unconfirmedFor(), Rollouts.digest(),
                 Poison.deathsToSend(PoisonService::DeathsPerProbe)};
           },
-          [this](const Address &from, const PiggybackedState &extras) {
-            Feed.onPeer(from, extras);
-            Rollouts.onPeer(from, extras.RolloutDigest);
-            Poison.onDeaths(extras.Deaths);
+          [this](const Address &from, const PiggybackedState &piggybacked) {
+            Feed.onPeer(from, piggybacked);
+            Rollouts.onPeer(from, piggybacked.RolloutDigest);
+            Poison.onDeaths(piggybacked.Deaths);
           },
           [this] { Servers.refresh(); }, Seeds()),
       Feed(
--- a/tests/unit/order_feed_test.cpp
+++ b/tests/unit/order_feed_test.cpp
@@ -278,10 +278,10 @@
   Feeds feeds;
   auto &host = *feeds.All[0];
   const auto before = host.Feed->unconfirmedFor();
-  PiggybackedState extras;
-  extras.OperatorEnd = host.State.end();
-  extras.Unconfirmed = before + std::chrono::hours(1);
-  host.Feed->onPeer(feeds.All[1]->Network.bound(), extras);
+  PiggybackedState piggybacked;
+  piggybacked.OperatorEnd = host.State.end();
+  piggybacked.Unconfirmed = before + std::chrono::hours(1);
+  host.Feed->onPeer(feeds.All[1]->Network.bound(), piggybacked);
   CHECK(host.Feed->unconfirmedFor() >= before);
   CHECK(host.Feed->unconfirmedFor() < std::chrono::hours(1));
 }
