--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -109,7 +109,7 @@
 
 void OrderFeed::report(const OperatorChange &change) {
   if (change.Ignored.Code != ErrorCode::Ok) {
-    Lines.warn("ignored an invalid record",
+    Lines.warn("ignored a record of the operator",
                {{"error", errorName(change.Ignored.Code)},
                 {"reason", change.Ignored.Message}});
   }
