--- a/include/chivefold/sidecar/proxy_service.h
+++ b/include/chivefold/sidecar/proxy_service.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Requests of the clients on this host.
+ * Proxy for the requests of clients on this host.
  */
 #ifndef CHIVEFOLD_SIDECAR_PROXY_SERVICE_H
 #define CHIVEFOLD_SIDECAR_PROXY_SERVICE_H
@@ -25,37 +25,38 @@
 
 namespace chivefold {
 
-/** What the proxy works with; all outlive it. */
-struct ProxyParts {
+/** Dependencies of ProxyService; all must outlive it. */
+struct ProxyDependencies {
   const PlatformPorts &Ports;
   const OperatorState &Orders;
   const OrderFeed &Feed;
   Placement &Servers;
   BackendService &Backend;
   const PoisonService &Poison;
-  Metrics &Figures;
+  Metrics &CallMetrics;
 };
 
 /**
- * Finds the route of each request, chooses a server and repeats attempts as the
+ * Routes each request, chooses a server and retries failed attempts as the
  * policy allows, within the client's deadline and the route's timeout. Used on
  * the reactor's thread only.
  */
 class ProxyService {
 public:
-  ProxyService(Reactor &reactor, PeerNetwork &network, const ProxyParts &parts,
-               Address self, std::string callerService);
+  ProxyService(Reactor &reactor, PeerNetwork &network,
+               const ProxyDependencies &parts, Address self,
+               std::string callerService);
   ~ProxyService();
   ProxyService(const ProxyService &) = delete;
   ProxyService &operator=(const ProxyService &) = delete;
 
-  /** Serves one request. */
+  /** Forwards one request and answers it. */
   void handle(const std::shared_ptr<HttpExchange> &exchange);
 
-  /** Changes the service that requests of this host are said to come from. */
+  /** Sets the service that is stated as the caller of this host's requests. */
   void setCallerService(std::string service);
 
-  /** Refuses requests from now on; those in progress go on. */
+  /** Refuses new requests; those in progress continue. */
   void startLeaving() { Leaving = true; }
 
   std::size_t openRequests() const { return Open.size(); }
@@ -72,7 +73,8 @@
   void sendTo(const RequestPtr &request, const PlacementChoice &choice);
   void onResult(const RequestPtr &request, CallResult result);
   static AttemptEnd endOf(const CallResult &result);
-  void learn(Request &request, const CallResult &result, AttemptEnd end);
+  void updatePlacement(Request &request, const CallResult &result,
+                       AttemptEnd end);
   void decide(const RequestPtr &request, CallResult result, AttemptEnd end);
   void deliver(const RequestPtr &request, CallResult result);
   void refuse(const RequestPtr &request, const CallResult &result);
@@ -86,12 +88,12 @@
 
   Reactor &Loop;
   PeerNetwork &Network;
-  ProxyParts Parts;
+  ProxyDependencies Parts;
   Address Self;
   std::string CallerService;
   bool Leaving = false;
   std::unordered_map<Request *, RequestPtr> Open;
-  /** Bounded by the services of the configuration. */
+  /** By service; bounded by the services of the configuration. */
   std::map<std::string, RetryTokens, std::less<>> Tokens;
   ServiceSplit Split;
   AttemptAge Ages;
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-/** Routes counted for rollouts; further ones are not. */
+/** Maximum number of routes with call counts; further routes are not counted.
+ */
 constexpr std::size_t MaxCountedRoutes = 256;
-/** Time after the deadline in which the server's own answer is awaited. */
+/** Time after the deadline during which the server's answer is still accepted.
+ */
 constexpr Duration AnswerGrace = std::chrono::milliseconds(20);
-/** A cold server is slower by about this factor, which says nothing of its
- * version. */
+/** A cold server is slower by about this factor. Latencies are divided by it so
+ * that warm-up does not count against the version. */
 constexpr std::uint64_t ColdSlowdown = 2;
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
@@ -21,7 +23,8 @@
 } // namespace
 
 BackendService::BackendService(Reactor &reactor, HttpClient &client,
-                               const BackendParts &parts, BackendPlace place,
+                               const BackendDependencies &parts,
+                               BackendLocation place,
                                std::function<void()> changed)
     : Loop(reactor), Client(client), Ports(parts.Ports), Orders(parts.Orders),
       Versions(parts.Versions), Poison(parts.Poison),
@@ -30,31 +33,33 @@
 
 Status BackendService::report(const ServerReport &report) {
   if (report.Server.Ip != Upstream.Ip) {
-    return Reason{ErrorCode::InvalidRecord, "a server of another host"};
+    return Reason{ErrorCode::InvalidRecord,
+                  "report from a server on another host"};
   }
   const Start start{report.State.Instance, report.StartedAtMs};
   if (std::find(EndedStarts.begin(), EndedStarts.end(), start) !=
       EndedStarts.end()) {
-    return Reason{ErrorCode::Conflict, "the server has ended"};
+    return Reason{ErrorCode::Conflict, "the reported instance has ended"};
   }
   const bool older =
       StartedAtMs && report.StartedAtMs && *report.StartedAtMs < *StartedAtMs;
-  if (older && !replacesSilent(report)) {
-    return Reason{ErrorCode::Conflict, "a newer start is known"};
+  if (older && !replacesSilentServer(report)) {
+    return Reason{ErrorCode::Conflict, "a newer instance has already reported"};
   }
   const bool sameStart = start == Start{Server.Instance, StartedAtMs};
   if (sameStart && report.Sequence <= Sequence) {
-    return Reason{ErrorCode::Conflict, "a newer report is known"};
+    return Reason{ErrorCode::Conflict, "a report with the same or a higher "
+                                       "sequence number was already received"};
   }
   if (!sameStart) {
-    takeStart(report);
+    beginInstance(report);
   }
   Sequence = report.Sequence;
   ReportedAt = Loop.now();
   Successor = {};
-  const bool back = Suspect;
-  Suspect = false;
-  SilentCalls = 0;
+  const bool back = Unresponsive;
+  Unresponsive = false;
+  UnansweredCalls = 0;
   ColdUntil = Loop.now() + report.ColdFor;
   const bool changed = back || !sameStart ||
                        Server.Phase != report.State.Phase ||
@@ -62,7 +67,7 @@
                        Server.Version != report.State.Version;
   Server = report.State;
   if (changed) {
-    Lines.info("the server reported a new state",
+    Lines.info("backend server state changed",
                {{"instance", Server.Instance},
                 {"service", Server.Service},
                 {"version", Server.Version},
@@ -75,10 +80,11 @@
   return Done{};
 }
 
-// A server that started after the clock of its host went back states an earlier
-// time than its predecessor. Late reports of an ended server are few and come
-// while the present one reports.
-bool BackendService::replacesSilent(const ServerReport &report) {
+// After a backward step of the host's clock, a new server states an earlier
+// start time than its predecessor. Late reports from an ended server also state
+// an earlier time, but they are few and arrive while the current server is
+// still reporting.
+bool BackendService::replacesSilentServer(const ServerReport &report) {
   const auto now = Loop.now();
   const Start start{report.State.Instance, report.StartedAtMs};
   if (!(Successor == start)) {
@@ -89,17 +95,18 @@
   }
   const bool reports = report.Sequence > SuccessorSequence;
   SuccessorSequence = std::max(SuccessorSequence, report.Sequence);
-  return reports && now >= ReportedAt + SilentFor &&
-         now >= SuccessorSince + StaysFor;
+  return reports && now >= ReportedAt + ReplaceAfterSilence &&
+         now >= SuccessorSince + MinSuccessorTime;
 }
 
-// Another start of a server has the address: what was known is void.
-void BackendService::takeStart(const ServerReport &report) {
-  if (Loop.now() < InterruptedAt + CrashMemory) {
+// A new server instance runs at the address: discards the state of the previous
+// one.
+void BackendService::beginInstance(const ServerReport &report) {
+  if (Loop.now() < InterruptedAt + CrashAttributionWindow) {
     reportCrash();
   }
   Interrupted.clear();
-  endPresent();
+  endCurrentInstance();
   StartedAtMs = report.StartedAtMs;
   Upstream = report.Server;
   Client.closeIdle();
@@ -109,10 +116,10 @@
   }
 }
 
-void BackendService::endPresent() {
+void BackendService::endCurrentInstance() {
   if (!Server.Instance.empty()) {
     EndedStarts.push_back({Server.Instance, StartedAtMs});
-    if (EndedStarts.size() > MaxEnded) {
+    if (EndedStarts.size() > MaxEndedStarts) {
       EndedStarts.pop_front();
     }
   }
@@ -121,10 +128,10 @@
 
 Status BackendService::leave(const std::string &instance) {
   if (instance != Server.Instance) {
-    return Reason{ErrorCode::NotFound, "not the present server"};
+    return Reason{ErrorCode::NotFound, "the instance is not the current one"};
   }
-  Lines.info("the server left", {{"instance", instance}});
-  endPresent();
+  Lines.info("backend server shut down", {{"instance", instance}});
+  endCurrentInstance();
   updateGate();
   Changed();
   return Done{};
@@ -138,10 +145,10 @@
 void BackendService::ordersChanged() { updateGate(); }
 
 void BackendService::updateGate() {
-  // Without the configuration it is not known what a cold server bears.
+  // The configuration states the request rate allowed for a cold server.
   const auto *service =
       Orders.routes() ? Orders.routes()->service(Server.Service) : nullptr;
-  const bool takesWork = Server.Phase == ServerPhase::Ready && !Suspect &&
+  const bool takesWork = Server.Phase == ServerPhase::Ready && !Unresponsive &&
                          !Leaving && service != nullptr &&
                          !Orders.isEvacuated(DataCentre);
   if (!takesWork) {
@@ -150,7 +157,7 @@
   }
   Gate.setCold(service->ColdRate, ColdUntil);
   Gate.open(Server.Slots, service->MaxConnections);
-  // One connection a running call, and a few that are closing.
+  // One connection per running call, and a few that are being closed.
   Client.setMaxConnections(Server.Slots + std::max(Server.Slots / 4, 2U));
   runWaiting();
 }
@@ -174,7 +181,7 @@
 }
 
 BackendCallId BackendService::run(CallMessage call, CallReply reply,
-                                  StillWanted stillWanted) {
+                                  CallerWaiting callerWaiting) {
   const auto id = static_cast<BackendCallId>(++NextCall);
   const auto reason = reasonToRefuse(call);
   if (reason != ErrorCode::Ok) {
@@ -197,7 +204,7 @@
   auto &entry = Calls[id];
   entry.Message = std::move(call);
   entry.Reply = std::move(reply);
-  entry.IsWanted = std::move(stillWanted);
+  entry.IsCallerWaiting = std::move(callerWaiting);
   entry.Digest = digest;
   if (offer.Kind == Admitted::Run) {
     send(id);
@@ -222,10 +229,10 @@
   http.Deadline = call.Message.Deadline + AnswerGrace;
   http.AcceptUnframed = true;
   if (!call.Message.Repeatable) {
-    http.ReuseUsedSince = now - FreshFor;
+    http.ReuseUsedSince = now - MaxReuseIdleTime;
   }
-  // An answer that names no request may be a late one to an earlier request of
-  // its connection.
+  // An answer without a request ID is accepted only as the first one on its
+  // connection; otherwise it may be a late answer to an earlier request.
   http.Accepts = [this, wanted = call.Message.RequestId](const auto &r,
                                                          bool isFirst) {
     const auto got = Ports.Requests.readServer(r).RequestId;
@@ -239,7 +246,7 @@
 CallResult BackendService::resultOf(const Call &call, HttpOutcome &outcome) {
   if (!outcome.Response) {
     const auto code = outcome.Response.reason().Code;
-    Lines.info("a call got no answer",
+    Lines.info("backend call failed without an answer",
                {{"request", call.Message.RequestId},
                 {"instance", Server.Instance},
                 {"reason", outcome.Response.reason().Message},
@@ -279,26 +286,27 @@
                        result.Status >= FirstServerError &&
                        Refused.explains(Loop.now());
   count(it->second, result, latency);
-  noteInterruption(it->second, result);
+  recordInterruption(it->second, result);
   const bool answered = result.Result == Outcome::Answered;
   finish(id, std::move(result),
          answered ? std::optional<Duration>(latency) : std::nullopt);
   if (refusedConnection) {
     reportCrash();
-    noteSilence();
+    markUnresponsive();
   } else if (!silent) {
-    SilentCalls = 0;
+    UnansweredCalls = 0;
     AnsweredAt = Loop.now();
-  } else if (++SilentCalls >= MaxSilentCalls &&
-             Loop.now() >= AnsweredAt + AliveFor) {
-    noteSilence();
+  } else if (++UnansweredCalls >= MaxUnansweredCalls &&
+             Loop.now() >= AnsweredAt + RecentAnswerWindow) {
+    markUnresponsive();
   }
 }
 
-// A broken connection alone says nothing: the server may live and lose single
-// answers. What was interrupted is reported once the server is seen to be gone.
-void BackendService::noteInterruption(const Call &call,
-                                      const CallResult &result) {
+// A broken connection alone does not prove a crash: a live server can lose
+// single answers. Interrupted requests are reported once the server is found to
+// be down.
+void BackendService::recordInterruption(const Call &call,
+                                        const CallResult &result) {
   const auto now = Loop.now();
   if (result.Result == Outcome::Answered) {
     if (result.Status < FirstServerError) {
@@ -322,15 +330,15 @@
   Interrupted.clear();
 }
 
-// Takes the server as gone; its next report proves that it lives.
-void BackendService::noteSilence() {
-  if (Suspect || Server.Phase != ServerPhase::Ready) {
+// Considers the server unresponsive until its next report.
+void BackendService::markUnresponsive() {
+  if (Unresponsive || Server.Phase != ServerPhase::Ready) {
     return;
   }
-  Suspect = true;
-  Lines.warn(
-      "the server does not answer",
-      {{"instance", Server.Instance}, {"calls", std::uint64_t{SilentCalls}}});
+  Unresponsive = true;
+  Lines.warn("backend server unresponsive; no calls until its next report",
+             {{"instance", Server.Instance},
+              {"calls", std::uint64_t{UnansweredCalls}}});
   updateGate();
   Changed();
 }
@@ -388,7 +396,7 @@
   runWaiting();
 }
 
-// Ends calls that waited and were certainly not run.
+// Refuses queued calls, none of which has been sent to the server.
 void BackendService::drop(const std::vector<GateRequestId> &ids,
                           ErrorCode code) {
   for (const auto id : ids) {
@@ -409,8 +417,8 @@
     if (it == Calls.end()) {
       continue;
     }
-    const auto isWanted = it->second.IsWanted;
-    if (isWanted && !isWanted()) {
+    const auto isCallerWaiting = it->second.IsCallerWaiting;
+    if (isCallerWaiting && !isCallerWaiting()) {
       cancel(id);
     }
     if (Calls.count(id) > 0) {
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -46,12 +46,15 @@
 FleetService::FleetService(Reactor &reactor, PeerNetwork &network,
                            KeyedStore &store, FleetTable &table,
                            AnnouncePlan &plan, Address own,
-                           std::function<HostState()> self, Extras extras,
-                           Heard heard, std::function<void()> changed,
-                           std::uint64_t seed)
+                           std::function<HostState()> self,
+                           PiggybackProvider piggybacked,
+                           HelloObserver onHelloReceived,
+                           std::function<void()> changed, std::uint64_t seed)
     : Loop(reactor), Network(network), Store(store), Table(table), Plan(plan),
-      Own(std::move(own)), Self(std::move(self)), OwnExtras(std::move(extras)),
-      OnHeard(std::move(heard)), Changed(std::move(changed)), Random(seed) {}
+      Own(std::move(own)), Self(std::move(self)),
+      OwnPiggyback(std::move(piggybacked)),
+      OnHelloReceived(std::move(onHelloReceived)), Changed(std::move(changed)),
+      Random(seed) {}
 
 void FleetService::start() {
   Table.update(Self(), Loop.now());
@@ -61,16 +64,17 @@
 
 void FleetService::registerSelf() {
   const auto self = Self();
-  Store.append(KeyedStream::Hosts, toString(self.Peer), self.DataCentre,
-               std::nullopt, Loop.now() + StoreTimeout,
-               [this](AppendEnd end, auto /*offset*/, const Reason &reason) {
-                 if (end != AppendEnd::Written) {
-                   return retryStore(reason);
-                 }
-                 Written = true;
-                 StoreFailures = 0;
-                 listHosts("");
-               });
+  Store.append(
+      KeyedStream::Hosts, toString(self.Peer), self.DataCentre, std::nullopt,
+      Loop.now() + StoreTimeout,
+      [this](AppendOutcome end, auto /*offset*/, const Reason &reason) {
+        if (end != AppendOutcome::Written) {
+          return retryStore(reason);
+        }
+        Written = true;
+        StoreFailures = 0;
+        listHosts("");
+      });
 }
 
 void FleetService::listHosts(const std::string &afterKey) {
@@ -83,24 +87,25 @@
                for (const auto &it : batch->Records) {
                  const auto peer = parseAddress(it.Key);
                  if (peer && Table.addAddress(*peer, Loop.now())) {
-                   greet(*peer);
+                   sendHello(*peer);
                  }
                }
                if (batch->HasMore && !batch->Records.empty()) {
                  return listHosts(batch->Records.back().Key);
                }
-               NextAddresses = Loop.now() + AddressPause;
-               Lines.info("registered", {{"hosts", Table.hosts().size()}});
+               NextAddressRequestAt = Loop.now() + AddressRequestInterval;
+               Lines.info("registered in the store",
+                          {{"hosts", Table.hosts().size()}});
              });
 }
 
 void FleetService::retryStore(const Reason &reason) {
   constexpr std::uint32_t maxDoublings = 3;
-  const auto pause =
-      std::min(MinStorePause * (1 << std::min(StoreFailures, maxDoublings)),
-               MaxStorePause);
+  const auto pause = std::min(MinStoreRetryDelay *
+                                  (1 << std::min(StoreFailures, maxDoublings)),
+                              MaxStoreRetryDelay);
   ++StoreFailures;
-  Lines.warn("the store did not take the registration",
+  Lines.warn("registration in the store failed; retrying",
              {{"error", errorName(reason.Code)},
               {"reason", reason.Message},
               {"failures", std::uint64_t{StoreFailures}}});
@@ -122,11 +127,11 @@
   auto due = Table.toProbe(now);
   due.resize(std::min(due.size(), MaxProbes));
   for (const auto &it : due) {
-    greet(it);
+    sendHello(it);
   }
   const auto gone = Table.forget(now);
   for (const auto &it : gone) {
-    Lines.info("forgot a host that stayed unreachable",
+    Lines.info("removed a host that stayed unreachable",
                {{"host", toString(it)}});
   }
   if (!gone.empty()) {
@@ -148,52 +153,55 @@
 
 void FleetService::announce() {
   Table.update(Self(), Loop.now());
-  auto news = hello();
-  // Deaths spread by themselves; greetings repeat them.
-  news.deaths.clear();
+  auto announcement = makeHello();
+  // PoisonService distributes crash records itself; probes repeat them.
+  announcement.deaths.clear();
   for (const auto &it : Plan.targets()) {
-    pass(it.Peer, news, it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
+    sendAnnouncement(it.Peer, announcement,
+                     it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
   }
 }
 
-void FleetService::pass(const Address &peer, wire::HelloT hello,
-                        HelloRoute route) {
+void FleetService::sendAnnouncement(const Address &peer, wire::HelloT hello,
+                                    HelloRoute route) {
   hello.route = static_cast<std::uint8_t>(route);
   Network.send(peer, frameBody(std::move(hello)));
 }
 
-void FleetService::greet(const Address &peer) {
+void FleetService::sendHello(const Address &peer) {
   if (peer == Own) {
     return;
   }
-  auto greeting = hello();
-  if (AddressesDiffer && Loop.now() >= NextAddresses && Plan.isNear(peer)) {
-    greeting.wants_addresses = true;
-    NextAddresses = Loop.now() + AddressPause;
-    AddressPause = std::min(2 * AddressPause, MaxAddressPause);
+  auto message = makeHello();
+  if (AddressesDiffer && Loop.now() >= NextAddressRequestAt &&
+      Plan.isNear(peer)) {
+    message.wants_addresses = true;
+    NextAddressRequestAt = Loop.now() + AddressRequestInterval;
+    AddressRequestInterval =
+        std::min(2 * AddressRequestInterval, MaxAddressRequestInterval);
   }
   Network.request(
-      peer, frameBody(std::move(greeting)), Loop.now() + GreetTimeout,
+      peer, frameBody(std::move(message)), Loop.now() + HelloTimeout,
       [this, peer](PeerOutcome outcome) {
         auto *answer = outcome.Answer ? outcome.Answer->AsHello() : nullptr;
         if (answer != nullptr) {
-          take(*answer);
+          handleHello(*answer);
           return;
         }
         const auto *known = Table.find(peer);
         const bool lost = known != nullptr && known->reachable();
         Table.failed(peer, Loop.now());
         if (lost) {
-          Lines.warn("lost a host", {{"host", toString(peer)},
-                                     {"reason", outcome.Failure.Message}});
+          Lines.warn("host unreachable", {{"host", toString(peer)},
+                                          {"reason", outcome.Failure.Message}});
           Changed();
         }
       });
 }
 
-wire::HelloT FleetService::hello() const {
+wire::HelloT FleetService::makeHello() const {
   const auto self = Self();
-  auto extras = OwnExtras();
+  auto piggybacked = OwnPiggyback();
   wire::HelloT out;
   out.address = addressToWire(self.Peer);
   out.data_centre = self.DataCentre;
@@ -203,11 +211,12 @@
   out.server = toWire(self.Server);
   out.gate = gateToWire(self.Gate);
   out.address_digest = Table.addressDigest();
-  out.operator_end = extras.OperatorEnd;
-  out.rollout_digest = extras.RolloutDigest;
-  out.deaths = std::move(extras.Deaths);
+  out.operator_end = piggybacked.OperatorEnd;
+  out.rollout_digest = piggybacked.RolloutDigest;
+  out.deaths = std::move(piggybacked.Deaths);
   out.unconfirmed_ms = static_cast<std::uint32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(extras.Unconfirmed)
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+          piggybacked.Unconfirmed)
           .count());
   return out;
 }
@@ -218,18 +227,18 @@
   }
 }
 
-void FleetService::takeAddresses(const wire::HelloT &hello) {
+void FleetService::mergeAddresses(const wire::HelloT &hello) {
   for (const auto &it : hello.addresses) {
     const auto peer = fromWire(it.get());
     if (peer && Table.addAddress(*peer, Loop.now())) {
-      AddressPause = MinAddressPause;
-      greet(*peer);
+      AddressRequestInterval = MinAddressRequestInterval;
+      sendHello(*peer);
     }
   }
 }
 
-void FleetService::noteNews(const HostState &state, bool isNew) {
-  Lines.info(isNew ? "found a host" : "a host changed",
+void FleetService::onHostChanged(const HostState &state, bool isNew) {
+  Lines.info(isNew ? "host discovered" : "host state changed",
              {{"host", toString(state.Peer)},
               {"sequence", state.Sequence},
               {"service", state.Server.Service},
@@ -239,8 +248,8 @@
   Changed();
 }
 
-// A greeting or the answer to one, from the host that it is about.
-void FleetService::take(wire::HelloT &hello) {
+// Handles a hello message, or the answer to one, sent by the host it describes.
+void FleetService::handleHello(wire::HelloT &hello) {
   const auto state = stateOf(hello);
   if (!state || state->Peer == Own) {
     return;
@@ -248,39 +257,40 @@
   const auto *known = Table.find(state->Peer);
   const bool isNew = known == nullptr || !known->reachable();
   if (Table.update(*state, Loop.now())) {
-    noteNews(*state, isNew);
+    onHostChanged(*state, isNew);
   }
-  takeAddresses(hello);
+  mergeAddresses(hello);
   AddressesDiffer = hello.address_digest != Table.addressDigest();
-  takeExtras(state->Peer, hello);
+  deliverPiggyback(state->Peer, hello);
 }
 
-void FleetService::takeExtras(const Address &peer, wire::HelloT &hello) {
-  GreetingExtras extras;
-  extras.OperatorEnd = hello.operator_end;
-  extras.RolloutDigest = hello.rollout_digest;
-  extras.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
-  extras.Deaths = std::move(hello.deaths);
-  OnHeard(peer, extras);
+void FleetService::deliverPiggyback(const Address &peer, wire::HelloT &hello) {
+  PiggybackedState piggybacked;
+  piggybacked.OperatorEnd = hello.operator_end;
+  piggybacked.RolloutDigest = hello.rollout_digest;
+  piggybacked.Unconfirmed = std::chrono::milliseconds(hello.unconfirmed_ms);
+  piggybacked.Deaths = std::move(hello.deaths);
+  OnHelloReceived(peer, piggybacked);
 }
 
-void FleetService::takeAnnouncement(wire::HelloT &hello) {
+void FleetService::handleAnnouncement(wire::HelloT &hello) {
   const auto state = stateOf(hello);
   if (!state || state->Peer == Own) {
     return;
   }
   const auto route = static_cast<HelloRoute>(hello.route);
   if (route == HelloRoute::Relayed) {
-    return takeRelayed(*state);
+    return handleRelayedAnnouncement(*state);
   }
   if (route == HelloRoute::ToRelay) {
     relay(*state, hello);
   }
-  take(hello);
+  handleHello(hello);
 }
 
-// Passes on what is new here; a copy that the other relay sent was passed on
-// by it.
+// Forwards an announcement within the data centre if its state is new to this
+// host. A state that is already known came through another relay, which has
+// forwarded it.
 void FleetService::relay(const HostState &state, const wire::HelloT &hello) {
   const auto *known = Table.find(state.Peer);
   const bool isNews = known == nullptr || !known->Heard ||
@@ -290,18 +300,18 @@
     return;
   }
   for (const auto &it : Plan.relayTargets(state.Peer)) {
-    pass(it, hello, HelloRoute::Relayed);
+    sendAnnouncement(it, hello, HelloRoute::Relayed);
   }
 }
 
-void FleetService::takeRelayed(const HostState &state) {
+void FleetService::handleRelayedAnnouncement(const HostState &state) {
   const auto *known = Table.find(state.Peer);
   const bool isNew = known == nullptr || !known->reachable();
   switch (Table.updateFromOther(state, Loop.now())) {
   case Hearsay::News:
-    return noteNews(state, isNew);
+    return onHostChanged(state, isNew);
   case Hearsay::Unsure:
-    return greet(state.Peer);
+    return sendHello(state.Peer);
   case Hearsay::Old:
     return;
   }
@@ -310,10 +320,10 @@
 void FleetService::onHello(wire::HelloT &request,
                            const PeerResponder &respond) {
   if (!respond) {
-    return takeAnnouncement(request);
+    return handleAnnouncement(request);
   }
-  take(request);
-  auto answer = hello();
+  handleHello(request);
+  auto answer = makeHello();
   if (request.wants_addresses &&
       request.address_digest != answer.address_digest) {
     addAddresses(answer);
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -7,7 +7,8 @@
 
 namespace chivefold {
 
-OrderFeed::OrderFeed(Reactor &reactor, const OrderFeedParts &parts, Address own,
+OrderFeed::OrderFeed(Reactor &reactor, const OrderFeedDependencies &parts,
+                     Address own,
                      std::function<void(const OperatorChange &)> changed,
                      std::uint64_t seed)
     : Loop(reactor), Parts(parts), State(parts.State), Own(std::move(own)),
@@ -16,7 +17,8 @@
 void OrderFeed::start() {
   Reading = true;
   list("");
-  Loop.schedule(Loop.now() + DutyInterval, [this] { checkDuty(); });
+  Loop.schedule(Loop.now() + ReaderCheckInterval,
+                [this] { checkReaderRole(); });
 }
 
 Duration OrderFeed::unconfirmedFor() const {
@@ -25,9 +27,10 @@
                                     : std::min(max, Loop.now() - ConfirmedAt);
 }
 
-void OrderFeed::checkDuty() {
-  Loop.schedule(Loop.now() + DutyInterval, [this] { checkDuty(); });
-  if (!Reading && (Parts.Readers.includesOwn() || mayBeBehind())) {
+void OrderFeed::checkReaderRole() {
+  Loop.schedule(Loop.now() + ReaderCheckInterval,
+                [this] { checkReaderRole(); });
+  if (!Reading && (Parts.Readers.includesOwn() || mayBeStale())) {
     poll();
   }
 }
@@ -40,17 +43,18 @@
 
 void OrderFeed::onListed(const Result<KeyedBatch> &batch) {
   if (!batch) {
-    return pause(batch.reason(), true);
+    return scheduleRetry(batch.reason(), true);
   }
-  storeAnswered();
-  // Pages are no snapshot: what lies behind the first page's end is read again.
+  onStoreAnswered();
+  // The pages are not one snapshot: records behind the end offset of the first
+  // page are read again.
   ListingEnd = ListingEnd.value_or(batch->End);
   Listing.insert(Listing.end(), batch->Records.begin(), batch->Records.end());
   if (batch->HasMore && !batch->Records.empty()) {
     return list(batch->Records.back().Key);
   }
   const auto change = State.applyListing(Listing, *ListingEnd);
-  Next = *ListingEnd;
+  NextReadOffset = *ListingEnd;
   Listing.clear();
   ListingEnd.reset();
   Complete = true;
@@ -62,24 +66,26 @@
 void OrderFeed::poll() {
   const auto now = Loop.now();
   Reading = true;
-  // What peers told need not be read again.
-  Next = std::max(Next, State.end());
+  // Skips records that were already fetched from peers.
+  NextReadOffset = std::max(NextReadOffset, State.end());
   Parts.Store.read(
-      KeyedStream::Orders, Next, now + PollTime, now + PollTime + AnswerSlack,
+      KeyedStream::Orders, NextReadOffset, now + LongPollTime,
+      now + LongPollTime + PollAnswerMargin,
       [this](const Result<KeyedBatch> &batch) { onPolled(batch); });
 }
 
 void OrderFeed::onPolled(const Result<KeyedBatch> &batch) {
   if (!batch) {
-    return pause(batch.reason(), batch.reason().Code == ErrorCode::LogTrimmed);
+    return scheduleRetry(batch.reason(),
+                         batch.reason().Code == ErrorCode::LogTrimmed);
   }
-  storeAnswered();
+  onStoreAnswered();
   ConfirmedAt = Loop.now();
   if (!batch->Records.empty()) {
-    Next = batch->Records.back().Offset + 1;
-    State.advance(Next);
+    NextReadOffset = batch->Records.back().Offset + 1;
+    State.advance(NextReadOffset);
     apply(batch->Records);
-    tellOthers(1);
+    notifyPeers(1);
   }
   Reading = false;
   if (Parts.Readers.includesOwn()) {
@@ -103,8 +109,9 @@
 
 void OrderFeed::report(const OperatorChange &change) {
   if (change.Ignored.Code != ErrorCode::Ok) {
-    Lines.warn("ignored a record", {{"error", errorName(change.Ignored.Code)},
-                                    {"reason", change.Ignored.Message}});
+    Lines.warn("ignored a record of the operator",
+               {{"error", errorName(change.Ignored.Code)},
+                {"reason", change.Ignored.Message}});
   }
   if (!change.any()) {
     return;
@@ -120,30 +127,30 @@
   Changed(change);
 }
 
-void OrderFeed::storeAnswered() {
+void OrderFeed::onStoreAnswered() {
   AnsweredAt = Loop.now();
   if (Failures > 0) {
-    Lines.info("the store answers again",
+    Lines.info("the store is available again",
                {{"failures", std::uint64_t{Failures}}});
     Failures = 0;
   }
 }
 
-void OrderFeed::pause(const Reason &reason, bool relist) {
+void OrderFeed::scheduleRetry(const Reason &reason, bool relist) {
   if (Failures == 0) {
-    Lines.warn("the store does not answer",
+    Lines.warn("the store is unavailable; retrying",
                {{"error", errorName(reason.Code)}, {"reason", reason.Message}});
   }
   Listing.clear();
   ListingEnd.reset();
   constexpr std::uint32_t maxDoublings = 3;
-  const auto longest =
-      std::min(MinPause * (1 << std::min(Failures, maxDoublings)), MaxPause);
+  const auto longest = std::min(
+      MinRetryDelay * (1 << std::min(Failures, maxDoublings)), MaxRetryDelay);
   ++Failures;
   std::uniform_int_distribution<Duration::rep> jitter(longest.count() / 2,
                                                       longest.count());
   Loop.schedule(Loop.now() + Duration(jitter(Random)), [this, relist] {
-    if (relist || !Complete || Next == 0) {
+    if (relist || !Complete || NextReadOffset == 0) {
       list("");
     } else {
       poll();
@@ -151,25 +158,27 @@
   });
 }
 
-void OrderFeed::onPeer(const Address &peer, const GreetingExtras &extras) {
-  if (extras.OperatorEnd <= State.end()) {
-    ConfirmedAt = std::max(ConfirmedAt, Loop.now() - extras.Unconfirmed);
+void OrderFeed::onPeer(const Address &peer,
+                       const PiggybackedState &piggybacked) {
+  if (piggybacked.OperatorEnd <= State.end()) {
+    ConfirmedAt = std::max(ConfirmedAt, Loop.now() - piggybacked.Unconfirmed);
     return;
   }
-  const bool storeTells = Reading && Loop.now() < AnsweredAt + StaleAfter;
+  const bool storeTells =
+      Reading && Loop.now() < AnsweredAt + StoreSilenceLimit;
   if (!storeTells) {
-    learnOfMore(peer, extras.OperatorEnd);
+    onNewerEndOffset(peer, piggybacked.OperatorEnd);
   }
 }
 
 void OrderFeed::onNotice(const wire::OrdersNoticeT &notice) {
   const auto peer = fromWire(notice.from.get());
   if (peer && notice.end > State.end()) {
-    learnOfMore(*peer, notice.end);
+    onNewerEndOffset(*peer, notice.end);
   }
 }
 
-void OrderFeed::learnOfMore(const Address &peer, std::uint64_t end) {
+void OrderFeed::onNewerEndOffset(const Address &peer, std::uint64_t end) {
   if (!Fetching && Parts.Plan.isNear(peer)) {
     return fetch(peer);
   }
@@ -178,14 +187,14 @@
     Sources.pop_front();
   }
   if (SourceTimer == TimerId::None) {
-    SourceTimer = Loop.schedule(Loop.now() + PreferNear, [this] {
+    SourceTimer = Loop.schedule(Loop.now() + RemoteFetchDelay, [this] {
       SourceTimer = TimerId::None;
       fetchFromSource();
     });
   }
 }
 
-// Asks the host that told last of what is still not known here.
+// Fetches from the host with the latest notice that still has unknown records.
 void OrderFeed::fetchFromSource() {
   while (!Fetching && !Sources.empty()) {
     const auto source = Sources.back();
@@ -207,17 +216,17 @@
                                              ? outcome.Answer->AsOrders()
                                              : nullptr;
                           if (orders != nullptr) {
-                            return takeOrders(*orders);
+                            return applyOrders(*orders);
                           }
-                          Lines.info("a host did not send its orders",
+                          Lines.info("fetching orders from a host failed",
                                      {{"host", toString(peer)},
                                       {"reason", outcome.Failure.Message}});
                           fetchFromSource();
                         });
 }
 
-// Tells some random hosts that there is more here than they may know.
-void OrderFeed::tellOthers(std::size_t perOtherDataCentre) {
+// Sends the end offset of this host to randomly chosen hosts.
+void OrderFeed::notifyPeers(std::size_t perOtherDataCentre) {
   wire::OrdersNoticeT notice;
   notice.from = addressToWire(Own);
   notice.end = State.end();
@@ -226,7 +235,7 @@
   }
 }
 
-Result<KeyedRecord> OrderFeed::recordOf(wire::KeyedRecordT &from) {
+Result<KeyedRecord> OrderFeed::decodeRecord(wire::KeyedRecordT &from) {
   KeyedRecord record;
   record.Key = from.key;
   record.Offset = from.offset;
@@ -237,33 +246,34 @@
     record.Value = std::string(from.value.begin(), from.value.end());
     return record;
   }
-  auto text = unpackText(from.value, from.plain_size);
+  auto text = decompressText(from.value, from.plain_size);
   if (!text) {
     return text.reason();
   }
   record.Value = std::move(*text);
-  PackedValues[record.Key] = {record.Offset, std::move(from.value)};
+  CompressedValues[record.Key] = {record.Offset, std::move(from.value)};
   return record;
 }
 
-void OrderFeed::takeOrders(wire::OrdersT &orders) {
+void OrderFeed::applyOrders(wire::OrdersT &orders) {
   std::vector<KeyedRecord> records;
   for (const auto &it : orders.records) {
-    auto record = recordOf(*it);
+    auto record = decodeRecord(*it);
     if (!record) {
-      // The place is not advanced, so that another host is asked.
-      Lines.warn("ignored the orders of a host",
+      // The end offset is not advanced, so the records are fetched again from
+      // another host.
+      Lines.warn("ignored invalid orders from a host",
                  {{"reason", record.reason().Message}});
       return;
     }
     records.push_back(std::move(*record));
   }
-  const bool isNews = orders.end > State.end();
+  const bool isUpdate = orders.end > State.end();
   State.advance(orders.end);
   Complete = true;
   apply(records);
-  if (isNews) {
-    tellOthers(0);
+  if (isUpdate) {
+    notifyPeers(0);
   }
 }
 
@@ -276,14 +286,14 @@
   if (!record.Value) {
     return to;
   }
-  if (record.Value->size() <= MaxPlainBytes ||
-      record.Value->size() > MaxPackedTextBytes) {
+  if (record.Value->size() <= MaxUncompressedBytes ||
+      record.Value->size() > MaxDecompressedBytes) {
     to->value.assign(record.Value->begin(), record.Value->end());
     return to;
   }
-  auto &packed = PackedValues[record.Key];
+  auto &packed = CompressedValues[record.Key];
   if (packed.Bytes.empty() || packed.Offset != record.Offset) {
-    packed = {record.Offset, packText(*record.Value)};
+    packed = {record.Offset, compressText(*record.Value)};
   }
   to->value = packed.Bytes;
   to->plain_size = static_cast<std::uint32_t>(record.Value->size());
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -21,7 +21,7 @@
   if (!record.Value) {
     return std::nullopt;
   }
-  // Buffers are read in place, so they must be aligned.
+  // FlatBuffers are read in place, so the bytes are copied to aligned memory.
   const std::vector<std::uint8_t> bytes(record.Value->begin(),
                                         record.Value->end());
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
@@ -42,7 +42,7 @@
 } // namespace
 
 RolloutService::RolloutService(Reactor &reactor, PeerNetwork &network,
-                               const RolloutParts &parts,
+                               const RolloutDependencies &parts,
                                const RolloutSettings &settings, Address self,
                                std::function<void()> changed)
     : Loop(reactor), Network(network), Parts(parts), Settings(settings),
@@ -58,43 +58,44 @@
     return;
   }
   Listing = true;
-  Parts.Store.list(KeyedStream::Rollouts, "", Loop.now() + StoreTimeout,
-                   [this](const Result<KeyedBatch> &batch) {
-                     Listing = false;
-                     if (!batch) {
-                       ++StoreFailures;
-                       Lines.warn("the rollouts were not read",
-                                  {{"reason", batch.reason().Message}});
-                       const auto pause = std::min<Duration>(
-                           TickInterval * std::min(StoreFailures, 4U),
-                           MaxStorePause);
-                       if (!StreamEnd) {
-                         Loop.schedule(Loop.now() + pause, [this] { list(); });
-                       }
-                       return;
-                     }
-                     StoreFailures = 0;
-                     StreamEnd = std::max(StreamEnd.value_or(0), batch->End);
-                     for (const auto &it : batch->Records) {
-                       if (const auto progress = decode(it)) {
-                         auto &place = Confirmed[progress->Service];
-                         place = std::max(place, progress->Offset);
-                         take(*progress);
-                       }
-                     }
-                   });
+  Parts.Store.list(
+      KeyedStream::Rollouts, "", Loop.now() + StoreTimeout,
+      [this](const Result<KeyedBatch> &batch) {
+        Listing = false;
+        if (!batch) {
+          ++StoreFailures;
+          Lines.warn("reading rollout progress from the store failed",
+                     {{"reason", batch.reason().Message}});
+          const auto pause = std::min<Duration>(
+              TickInterval * std::min(StoreFailures, 4U), MaxStoreRetryDelay);
+          if (!StreamEnd) {
+            Loop.schedule(Loop.now() + pause, [this] { list(); });
+          }
+          return;
+        }
+        StoreFailures = 0;
+        StreamEnd = std::max(StreamEnd.value_or(0), batch->End);
+        for (const auto &it : batch->Records) {
+          if (const auto progress = decode(it)) {
+            auto &offset = ConfirmedOffsets[progress->Service];
+            offset = std::max(offset, progress->Offset);
+            applyProgress(*progress);
+          }
+        }
+      });
 }
 
-bool RolloutService::take(const RolloutProgress &progress) {
+bool RolloutService::applyProgress(const RolloutProgress &progress) {
   if (!Parts.Versions.apply(progress)) {
     return false;
   }
   Clock.sawProgress(progress, Loop.now());
-  Lines.info("progress", {{"service", progress.Service},
-                          {"target", progress.TargetVersion},
-                          {"phase", rolloutPhaseName(progress.Phase)},
-                          {"share", std::uint64_t{progress.ShareBasisPoints}},
-                          {"offset", progress.Offset}});
+  Lines.info("rollout progress",
+             {{"service", progress.Service},
+              {"target", progress.TargetVersion},
+              {"phase", rolloutPhaseName(progress.Phase)},
+              {"share", std::uint64_t{progress.ShareBasisPoints}},
+              {"offset", progress.Offset}});
   Changed();
   return true;
 }
@@ -139,23 +140,23 @@
   if (drive.OrderOffset != order.Offset) {
     drive = Drive(Settings);
     drive.OrderOffset = order.Offset;
-    Lines.info("drives a rollout", {{"service", order.Service},
-                                    {"target", order.TargetVersion},
-                                    {"order", order.Offset}});
+    Lines.info("controlling a rollout", {{"service", order.Service},
+                                         {"target", order.TargetVersion},
+                                         {"order", order.Offset}});
   }
   const auto *known = Parts.Versions.progress(order.Service);
   if (known == nullptr || known->OrderOffset < order.Offset) {
     return write(firstProgress(order));
   }
-  const auto confirmed = Confirmed.find(order.Service);
+  const auto confirmed = ConfirmedOffsets.find(order.Service);
   const bool written =
-      confirmed != Confirmed.end() && confirmed->second >= known->Offset;
+      confirmed != ConfirmedOffsets.end() && confirmed->second >= known->Offset;
   if (!written && isFinal(known->Phase)) {
     return write(*known);
   }
   reportStatus(*known, drive);
   if (!isFinal(known->Phase)) {
-    collect(order, drive);
+    collectCounts(order, drive);
     decide(order, drive);
   }
 }
@@ -174,7 +175,7 @@
     } else if (before->Phase == RolloutPhase::Completed) {
       out.BaseVersion = before->TargetVersion;
     }
-    // An order may name a version again that was rolled back before.
+    // A new order may target a version that was rolled back before.
     out.Rejected.erase(std::remove(out.Rejected.begin(), out.Rejected.end(),
                                    order.TargetVersion),
                        out.Rejected.end());
@@ -182,7 +183,7 @@
   return out;
 }
 
-void RolloutService::collect(const RolloutOrder &order, Drive &drive) {
+void RolloutService::collectCounts(const RolloutOrder &order, Drive &drive) {
   drive.Hosts[Self] = {Parts.Backend.countedVersion(),
                        Parts.Backend.server().Service == order.Service
                            ? Parts.Backend.counts()
@@ -265,7 +266,7 @@
     next.Phase = RolloutPhase::RolledBack;
   }
   Lines.info(
-      "decided",
+      "rollout decision",
       {{"service", order.Service},
        {"target", order.TargetVersion},
        {"action", rolloutActionName(decision.Action)},
@@ -273,10 +274,10 @@
        {"elapsed_ms", static_cast<std::uint64_t>(next.Elapsed.count() / 1000)},
        {"evidence", decision.Evidence}});
   if (decision.Action == RolloutAction::RollBack) {
-    // Taking traffic away is always safe: it counts before it is written.
+    // Removing traffic is always safe, so it takes effect before it is written.
     next.Offset = known.Offset + 1;
-    take(next);
-    spread();
+    applyProgress(next);
+    broadcastProgress();
   }
   write(std::move(next));
 }
@@ -291,39 +292,41 @@
   Parts.Store.append(
       KeyedStream::Rollouts, progress.Service, bytes, at,
       Loop.now() + StoreTimeout,
-      [this, progress, at](AppendEnd end, auto /*offset*/,
+      [this, progress, at](AppendOutcome end, auto /*offset*/,
                            const Reason &reason) mutable {
         Writing = false;
-        if (end == AppendEnd::Written) {
+        if (end == AppendOutcome::Written) {
           StoreFailures = 0;
           StreamEnd = at + 1;
           progress.Offset = at;
-          Confirmed[progress.Service] = at;
-          // A take-back that is in force already has a place of its own.
+          ConfirmedOffsets[progress.Service] = at;
+          // A rollback already in force has a provisional offset, which may be
+          // greater than that of the record.
           const auto *known = Parts.Versions.progress(progress.Service);
           if (known != nullptr && known->Phase == progress.Phase &&
               known->OrderOffset == progress.OrderOffset &&
               known->Offset > at) {
-            Confirmed[progress.Service] = known->Offset;
+            ConfirmedOffsets[progress.Service] = known->Offset;
           }
-          take(progress);
-          return spread();
+          applyProgress(progress);
+          return broadcastProgress();
         }
         ++StoreFailures;
-        Lines.warn("a step was not written", {{"service", progress.Service},
-                                              {"error", errorName(reason.Code)},
-                                              {"reason", reason.Message}});
+        Lines.warn("writing rollout progress to the store failed",
+                   {{"service", progress.Service},
+                    {"error", errorName(reason.Code)},
+                    {"reason", reason.Message}});
         NextWrite = Loop.now() + std::min<Duration>(
                                      TickInterval * std::min(StoreFailures, 4U),
-                                     MaxStorePause);
-        // Another driver wrote, or the record may be there.
+                                     MaxStoreRetryDelay);
+        // Another driver may have written, or this append may have succeeded.
         list();
       });
 }
 
 void RolloutService::reportStatus(const RolloutProgress &progress,
                                   Drive &drive) {
-  if (drive.Reporting || drive.Reported == progress.Phase ||
+  if (drive.Reporting || drive.ReportedPhase == progress.Phase ||
       Loop.now() < NextWrite) {
     return;
   }
@@ -332,23 +335,24 @@
       KeyedStream::RolloutStatus, Parts.Ports.Statuses.key(progress),
       Parts.Ports.Statuses.encode(progress), std::nullopt,
       Loop.now() + StoreTimeout,
-      [this, progress](AppendEnd end, auto /*offset*/, const Reason &reason) {
+      [this, progress](AppendOutcome end, auto /*offset*/,
+                       const Reason &reason) {
         const auto it = Drives.find(progress.Service);
         if (it == Drives.end() ||
             it->second.OrderOffset != progress.OrderOffset) {
           return;
         }
         it->second.Reporting = false;
-        if (end == AppendEnd::Written) {
-          it->second.Reported = progress.Phase;
-          Lines.info("status reported",
+        if (end == AppendOutcome::Written) {
+          it->second.ReportedPhase = progress.Phase;
+          Lines.info("rollout status written",
                      {{"service", progress.Service},
                       {"phase", rolloutPhaseName(progress.Phase)}});
           return;
         }
         ++StoreFailures;
         NextWrite = Loop.now() + TickInterval;
-        Lines.warn("the status was not written",
+        Lines.warn("writing rollout status to the store failed",
                    {{"service", progress.Service}, {"reason", reason.Message}});
       });
 }
@@ -361,7 +365,7 @@
   return out;
 }
 
-void RolloutService::spread() const {
+void RolloutService::broadcastProgress() const {
   for (const auto &it : Parts.Fleet.hosts()) {
     if (it.first != Self && it.second.reachable()) {
       Network.send(it.first, frameBody(progressFrame()));
@@ -373,7 +377,7 @@
   for (const auto &it : rollouts.entries) {
     const auto progress = fromWire(*it);
     if (progress) {
-      take(*progress);
+      applyProgress(*progress);
     }
   }
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -15,18 +15,19 @@
 namespace {
 
 constexpr std::size_t InitialConnections = 16;
-/** Time after the stop in which clients may still begin requests here: the
- * platform takes a host out after two missed checks, one a second. */
-constexpr Duration StopNotice = std::chrono::milliseconds(2600);
-/** Part of the grace period that is kept free for the exit itself. */
+/** Time after a stop during which clients may still send requests: the platform
+ * removes a host after two failed readiness checks, one per second. */
+constexpr Duration DeregistrationDelay = std::chrono::milliseconds(2600);
+/** Part of the grace period reserved for the exit of the process. */
 constexpr Duration ExitReserve = std::chrono::milliseconds(500);
-constexpr Duration DrainCheck = std::chrono::milliseconds(50);
-/** A fleet of one host is ready without any peer after this time. */
-constexpr Duration LonelyReadiness = std::chrono::milliseconds(1500);
-/** Pause between two lines on what was sent to other daemons. */
+constexpr Duration DrainCheckInterval = std::chrono::milliseconds(50);
+/** Without known peers, the daemon is ready after this time: the fleet may
+ * consist of one host. */
+constexpr Duration SingleHostReadyDelay = std::chrono::milliseconds(1500);
+/** Interval between log lines about traffic to other daemons. */
 constexpr Duration TrafficInterval = std::chrono::seconds(10);
 
-// Text of the metrics address.
+// Peer traffic in the Prometheus text format.
 std::string trafficMetrics(const PeerNetwork &network) {
   std::string out;
   for (const auto &it : network.traffic()) {
@@ -41,9 +42,9 @@
 
 } // namespace
 
-struct Sidecar::Parts {
-  Parts(Reactor &reactor, SidecarSettings settings, const PlatformPorts &ports,
-        KeyedStore &store, std::uint64_t seed);
+struct Sidecar::Impl {
+  Impl(Reactor &reactor, SidecarSettings settings, const PlatformPorts &ports,
+       KeyedStore &store, std::uint64_t seed);
 
   HostState self() const;
   void onFrame(wire::FrameBodyUnion &body, const PeerResponder &respond);
@@ -66,7 +67,7 @@
   std::uint64_t Sequence = 0;
   TimePoint StartedAt;
   bool Leaving = false;
-  /** No further request of a client is begun. */
+  /** New requests of clients are refused. */
   bool Closed = false;
 
   OperatorState Orders;
@@ -75,7 +76,7 @@
   AnnouncePlan Plan;
   OrderReaders Readers;
   Placement Servers;
-  Metrics Figures;
+  Metrics CallMetrics;
   HttpClient ServerHttp;
   PeerNetwork Network;
   PoisonService Poison;
@@ -87,21 +88,21 @@
   HttpServer CallerServer;
   HttpServer AdminServer;
   HttpServer ReadinessServer;
-  /** Calls of peers in progress, by token of their request. */
+  /** Calls of peers in progress, by request token. */
   std::unordered_map<std::uint64_t, BackendCallId> PeerCalls;
   Logger Lines{"sidecar"};
 };
 
-Sidecar::Parts::Parts(Reactor &reactor, SidecarSettings settings,
-                      const PlatformPorts &ports, KeyedStore &store,
-                      std::uint64_t seed)
+Sidecar::Impl::Impl(Reactor &reactor, SidecarSettings settings,
+                    const PlatformPorts &ports, KeyedStore &store,
+                    std::uint64_t seed)
     : Loop(reactor), Own(std::move(settings)), Ports(ports), Seeds(seed),
       BootId(Seeds()), StartedAt(Loop.now()), Orders(ports.Orders),
       Versions(Orders), Hosts(Seeds()),
       Plan(Hosts, Own.PeerListen, Own.DataCentre, Seeds()),
       Readers(Hosts, Own.PeerListen, Own.DataCentre),
       Servers(Hosts, Orders, Versions, Own.PeerListen, Own.DataCentre, Seeds()),
-      Figures(MetricsSettings()), ServerHttp(Loop, InitialConnections),
+      CallMetrics(MetricsSettings()), ServerHttp(Loop, InitialConnections),
       Network(Loop, Own.PeerListen,
               [this](const Address & /*link*/, wire::FrameBodyUnion &body,
                      const PeerResponder &respond) { onFrame(body, respond); }),
@@ -115,14 +116,14 @@
           Loop, Network, store, Hosts, Plan, Own.PeerListen,
           [this] { return self(); },
           [this] {
-            return GreetingExtras{
+            return PiggybackedState{
                 Orders.end(), Feed.unconfirmedFor(), Rollouts.digest(),
                 Poison.deathsToSend(PoisonService::DeathsPerProbe)};
           },
-          [this](const Address &from, const GreetingExtras &extras) {
-            Feed.onPeer(from, extras);
-            Rollouts.onPeer(from, extras.RolloutDigest);
-            Poison.onDeaths(extras.Deaths);
+          [this](const Address &from, const PiggybackedState &piggybacked) {
+            Feed.onPeer(from, piggybacked);
+            Rollouts.onPeer(from, piggybacked.RolloutDigest);
+            Poison.onDeaths(piggybacked.Deaths);
           },
           [this] { Servers.refresh(); }, Seeds()),
       Feed(
@@ -133,7 +134,7 @@
                quickRolloutSettings(Own.Exposure), Own.PeerListen,
                [this] { Servers.refresh(); }),
       Proxy(Loop, Network,
-            {ports, Orders, Feed, Servers, Backend, Poison, Figures},
+            {ports, Orders, Feed, Servers, Backend, Poison, CallMetrics},
             Own.PeerListen, Own.Service),
       CallerServer(Loop, Own.CallerListen,
                    [this](const std::shared_ptr<HttpExchange> &exchange) {
@@ -150,7 +151,7 @@
   Network.onCancel([this](std::uint64_t token) { onCancel(token); });
 }
 
-HostState Sidecar::Parts::self() const {
+HostState Sidecar::Impl::self() const {
   HostState out;
   out.Peer = Own.PeerListen;
   out.DataCentre = Own.DataCentre;
@@ -162,19 +163,19 @@
   return out;
 }
 
-bool Sidecar::Parts::isReady() const {
-  const bool knowsPeers =
-      Hosts.hosts().size() > 1 || Loop.now() >= StartedAt + LonelyReadiness;
+bool Sidecar::Impl::isReady() const {
+  const bool knowsPeers = Hosts.hosts().size() > 1 ||
+                          Loop.now() >= StartedAt + SingleHostReadyDelay;
   return !Leaving && Orders.routes() != nullptr && knowsPeers;
 }
 
-void Sidecar::Parts::onServerChanged() {
+void Sidecar::Impl::onServerChanged() {
   ++Sequence;
   Fleet.announce();
   Servers.refresh();
 }
 
-void Sidecar::Parts::onOrders(const OperatorChange &change) {
+void Sidecar::Impl::onOrders(const OperatorChange &change) {
   if (change.Configuration) {
     const auto &limits = Orders.routes()->configuration().Limits;
     CallerServer.setLimits({limits.MaxHeaderBytes, limits.MaxBodyBytes,
@@ -185,8 +186,8 @@
   Servers.refresh();
 }
 
-void Sidecar::Parts::onFrame(wire::FrameBodyUnion &body,
-                             const PeerResponder &respond) {
+void Sidecar::Impl::onFrame(wire::FrameBodyUnion &body,
+                            const PeerResponder &respond) {
   switch (body.type) {
   case wire::FrameBody::CallRequest:
     return onCall(*body.AsCallRequest(), respond);
@@ -203,13 +204,14 @@
   case wire::FrameBody::StatsRequest:
     return Rollouts.onStatsRequest(*body.AsStatsRequest(), respond);
   default:
-    // Frames of a newer protocol are ignored; the sender sees a time-out.
+    // Frames of a newer protocol are ignored; a request among them times out at
+    // the sender.
     return;
   }
 }
 
-void Sidecar::Parts::onCall(wire::CallRequestT &request,
-                            const PeerResponder &respond) {
+void Sidecar::Impl::onCall(wire::CallRequestT &request,
+                           const PeerResponder &respond) {
   if (!respond) {
     return;
   }
@@ -226,7 +228,7 @@
   }
 }
 
-void Sidecar::Parts::onCancel(std::uint64_t token) {
+void Sidecar::Impl::onCancel(std::uint64_t token) {
   const auto it = PeerCalls.find(token);
   if (it != PeerCalls.end()) {
     Backend.cancel(it->second);
@@ -234,21 +236,21 @@
   }
 }
 
-void Sidecar::Parts::onAdmin(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onAdmin(const std::shared_ptr<HttpExchange> &exchange) {
   const auto &request = exchange->request();
-  switch (Ports.Reports.callOf(request)) {
-  case ReportCall::Report:
+  switch (Ports.Reports.requestKind(request)) {
+  case AdminRequestKind::Report:
     return onReport(exchange);
-  case ReportCall::Leave:
+  case AdminRequestKind::Leave:
     return onLeave(exchange);
-  case ReportCall::None:
+  case AdminRequestKind::None:
     break;
   }
   if (request.Path == "/-/metrics") {
-    return exchange->respond(
-        {200,
-         {{"Content-Type", "text/plain"}},
-         toPrometheus(Figures.report(Loop.now())) + trafficMetrics(Network)});
+    return exchange->respond({200,
+                              {{"Content-Type", "text/plain"}},
+                              toPrometheus(CallMetrics.report(Loop.now())) +
+                                  trafficMetrics(Network)});
   }
   if (request.Path == "/-/ready") {
     return exchange->respond({isReady() ? 200 : 503, {}, ""});
@@ -256,41 +258,42 @@
   exchange->respond({404, {}, ""});
 }
 
-void Sidecar::Parts::onReport(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onReport(const std::shared_ptr<HttpExchange> &exchange) {
   const auto report = Ports.Reports.report(exchange->request());
   const auto taken = report ? Backend.report(*report) : Status(report.reason());
   if (!taken) {
-    Lines.info("ignored a report", {{"path", exchange->request().Path},
-                                    {"error", errorName(taken.reason().Code)},
-                                    {"reason", taken.reason().Message}});
+    Lines.info("ignored a backend server's report",
+               {{"path", exchange->request().Path},
+                {"error", errorName(taken.reason().Code)},
+                {"reason", taken.reason().Message}});
   }
-  // A stale report was received all the same; one that cannot be read was not.
+  // An outdated report is acknowledged; only a malformed one is an error.
   const bool readable = report.hasValue();
   exchange->respond(
       {readable ? 200 : 400, {{"Content-Type", "application/json"}}, "{}"});
 }
 
-void Sidecar::Parts::onLeave(const std::shared_ptr<HttpExchange> &exchange) {
+void Sidecar::Impl::onLeave(const std::shared_ptr<HttpExchange> &exchange) {
   const auto instance = Ports.Reports.leaving(exchange->request());
   const auto taken = Backend.leave(instance);
   if (!taken) {
-    Lines.info("ignored a departure",
+    Lines.info("ignored a backend server's shutdown notice",
                {{"instance", instance}, {"reason", taken.reason().Message}});
   }
   exchange->respond({200, {{"Content-Type", "application/json"}}, "{}"});
 }
 
-void Sidecar::Parts::logTraffic() {
+void Sidecar::Impl::logTraffic() {
   for (const auto &it : Network.traffic()) {
-    Lines.info("sent to other daemons",
+    Lines.info("frames sent to other daemons",
                {{"kind", it.Kind}, {"frames", it.Frames}, {"bytes", it.Bytes}});
   }
   Loop.schedule(Loop.now() + TrafficInterval, [this] { logTraffic(); });
 }
 
-// Until @p earliest clients may begin requests; then only open ones are
-// finished, until @p latest.
-void Sidecar::Parts::drain(TimePoint earliest, TimePoint latest) {
+// Accepts new requests until @p earliest, then finishes open ones until @p
+// latest and stops the reactor.
+void Sidecar::Impl::drain(TimePoint earliest, TimePoint latest) {
   const auto now = Loop.now();
   if (now >= earliest && !Closed) {
     Closed = true;
@@ -304,62 +307,67 @@
     Loop.stop();
     return;
   }
-  Loop.schedule(now + DrainCheck,
+  Loop.schedule(now + DrainCheckInterval,
                 [this, earliest, latest] { drain(earliest, latest); });
 }
 
 Sidecar::Sidecar(Reactor &reactor, SidecarSettings settings,
                  const PlatformPorts &ports, KeyedStore &store,
                  std::uint64_t seed)
-    : All(std::make_unique<Parts>(reactor, std::move(settings), ports, store,
-                                  seed)) {}
+    : Implementation(std::make_unique<Impl>(reactor, std::move(settings), ports,
+                                            store, seed)) {}
 
 Sidecar::~Sidecar() = default;
 
 Status Sidecar::start() {
   for (auto &started :
-       {All->Network.start(), All->AdminServer.start(),
-        All->ReadinessServer.start(), All->CallerServer.start()}) {
+       {Implementation->Network.start(), Implementation->AdminServer.start(),
+        Implementation->ReadinessServer.start(),
+        Implementation->CallerServer.start()}) {
     if (!started) {
       return started.reason();
     }
   }
-  All->Lines.info("started", {{"data_centre", All->Own.DataCentre},
-                              {"service", All->Own.Service},
-                              {"peer", toString(All->Own.PeerListen)},
-                              {"boot", All->BootId}});
-  All->Fleet.start();
-  All->Feed.start();
-  All->Rollouts.start();
-  All->logTraffic();
+  Implementation->Lines.info(
+      "started", {{"data_centre", Implementation->Own.DataCentre},
+                  {"service", Implementation->Own.Service},
+                  {"peer", toString(Implementation->Own.PeerListen)},
+                  {"boot", Implementation->BootId}});
+  Implementation->Fleet.start();
+  Implementation->Feed.start();
+  Implementation->Rollouts.start();
+  Implementation->logTraffic();
   return Done{};
 }
 
 void Sidecar::reload(const SidecarSettings &settings) {
-  All->Lines.info("settings reloaded", {{"service", settings.Service}});
-  All->Own.Service = settings.Service;
-  All->Proxy.setCallerService(settings.Service);
+  Implementation->Lines.info("settings reloaded",
+                             {{"service", settings.Service}});
+  Implementation->Own.Service = settings.Service;
+  Implementation->Proxy.setCallerService(settings.Service);
   if (!setLogLevel(settings.LogLevel)) {
-    All->Lines.warn("unknown log level", {{"level", settings.LogLevel}});
+    Implementation->Lines.warn("unknown log level",
+                               {{"level", settings.LogLevel}});
   }
 }
 
 void Sidecar::stop() {
-  if (All->Leaving) {
+  if (Implementation->Leaving) {
     return;
   }
-  All->Leaving = true;
-  ++All->Sequence;
-  All->Lines.info("stopping", {{"open_requests", All->Proxy.openRequests()},
-                               {"open_calls", All->Backend.openCalls()}});
-  All->Rollouts.stop();
-  All->Backend.startLeaving();
-  All->Fleet.announce();
-  All->Servers.refresh();
-  All->CallerServer.closeAfterAnswers();
-  const auto now = All->Loop.now();
-  const auto latest = now + All->Own.GracePeriod - ExitReserve;
-  All->drain(std::min(now + StopNotice, latest), latest);
+  Implementation->Leaving = true;
+  ++Implementation->Sequence;
+  Implementation->Lines.info(
+      "stopping", {{"open_requests", Implementation->Proxy.openRequests()},
+                   {"open_calls", Implementation->Backend.openCalls()}});
+  Implementation->Rollouts.stop();
+  Implementation->Backend.startLeaving();
+  Implementation->Fleet.announce();
+  Implementation->Servers.refresh();
+  Implementation->CallerServer.closeAfterAnswers();
+  const auto now = Implementation->Loop.now();
+  const auto latest = now + Implementation->Own.GracePeriod - ExitReserve;
+  Implementation->drain(std::min(now + DeregistrationDelay, latest), latest);
 }
 
 } // namespace chivefold
