--- a/include/chivefold/daemon/command_line.h
+++ b/include/chivefold/daemon/command_line.h
@@ -14,18 +14,18 @@
 namespace chivefold {
 
 /** @return "" if @p text is IP:PORT, otherwise what is wrong. Thread-safe. */
-std::string checkAddress(const std::string &text);
+std::string validateAddress(const std::string &text);
 
 /** Adds an option that sets @p to, which outlives the parsing. */
-CLI::Option *addAddress(CLI::App &app, const std::string &flag, Address &to,
-                        const std::string &help);
+CLI::Option *addAddressOption(CLI::App &app, const std::string &flag,
+                              Address &to, const std::string &help);
 
 /** Lets an environment variable, CHIVEFOLD_ and the flag's name, set the
  * option. @return @p option. */
-CLI::Option *withEnvironment(CLI::Option *option);
+CLI::Option *bindEnvironmentVariable(CLI::Option *option);
 
 /** Adds the option for the least level that is logged. */
-void addLogLevel(CLI::App &app, std::string &to);
+void addLogLevelOption(CLI::App &app, std::string &to);
 
 /** What a program prints before it exits. */
 struct CommandLineExit {
--- a/src/daemon/command_line.cpp
+++ b/src/daemon/command_line.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-constexpr int BadSettingsExitCode = 2;
+constexpr int UsageErrorExitCode = 2;
 
 } // namespace
 
-std::string checkAddress(const std::string &text) {
+std::string validateAddress(const std::string &text) {
   return parseAddress(text) ? "" : "expected IP:PORT, got '" + text + "'";
 }
 
-CLI::Option *addAddress(CLI::App &app, const std::string &flag, Address &to,
-                        const std::string &help) {
+CLI::Option *addAddressOption(CLI::App &app, const std::string &flag,
+                              Address &to, const std::string &help) {
   const auto set = [&to](const std::string &text) { to = *parseAddress(text); };
   return app.add_option_function<std::string>(flag, set, help)
-      ->check(checkAddress)
+      ->check(validateAddress)
       ->type_name("IP:PORT");
 }
 
-CLI::Option *withEnvironment(CLI::Option *option) {
+CLI::Option *bindEnvironmentVariable(CLI::Option *option) {
   std::string name = "CHIVEFOLD_";
   for (const char c : option->get_lnames().front()) {
     name +=
@@ -35,8 +35,8 @@
   return option->envname(name);
 }
 
-void addLogLevel(CLI::App &app, std::string &to) {
-  withEnvironment(
+void addLogLevelOption(CLI::App &app, std::string &to) {
+  bindEnvironmentVariable(
       app.add_option("--log-level", to, "least level that is logged"))
       ->check(CLI::IsMember({"trace", "debug", "info", "warn", "error"}))
       ->capture_default_str();
@@ -55,7 +55,7 @@
     return CommandLineExit{std::string(ProgramVersion) + "\n", 0};
   } catch (const CLI::ParseError &e) {
     return CommandLineExit{program + ": " + e.what() + "\n",
-                           BadSettingsExitCode};
+                           UsageErrorExitCode};
   }
   return std::nullopt;
 }
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -25,24 +25,26 @@
 }
 
 void addListeners(CLI::App &app, Settings &s) {
-  withEnvironment(addAddress(app, "--caller-listen", s.CallerListen,
-                             "address for callers (HTTP)"))
+  bindEnvironmentVariable(addAddressOption(app, "--caller-listen",
+                                           s.CallerListen,
+                                           "address for callers (HTTP)"))
       ->required();
-  withEnvironment(addAddress(app, "--peer-listen", s.PeerListen,
-                             "address for other daemons"))
+  bindEnvironmentVariable(addAddressOption(app, "--peer-listen", s.PeerListen,
+                                           "address for other daemons"))
       ->required();
-  withEnvironment(addAddress(app, "--admin-listen", s.AdminListen,
-                             "address for operators (HTTP)"))
+  bindEnvironmentVariable(addAddressOption(app, "--admin-listen", s.AdminListen,
+                                           "address for operators (HTTP)"))
       ->required();
-  withEnvironment(addAddress(app, "--backend-server", s.BackendServer,
-                             "the backend server on this host (HTTP)"))
+  bindEnvironmentVariable(
+      addAddressOption(app, "--backend-server", s.BackendServer,
+                       "the backend server on this host (HTTP)"))
       ->required();
 }
 
 void addIdentity(CLI::App &app, Settings &s) {
   const auto name = [&app](const char *flag, std::string &to,
                            const char *help) {
-    withEnvironment(app.add_option(flag, to, help))
+    bindEnvironmentVariable(app.add_option(flag, to, help))
         ->required()
         ->check(checkName)
         ->type_name("NAME");
@@ -54,7 +56,8 @@
 }
 
 void addRest(CLI::App &app, Settings &s) {
-  withEnvironment(app.add_option("--log-url", s.LogUrl, "the platform's log"))
+  bindEnvironmentVariable(
+      app.add_option("--log-url", s.LogUrl, "the platform's log"))
       ->required()
       ->check(checkUrl)
       ->type_name("http://IP:PORT");
@@ -63,15 +66,15 @@
       s.Seeds.push_back(*parseAddress(it));
     }
   };
-  withEnvironment(
+  bindEnvironmentVariable(
       app.add_option_function<std::vector<std::string>>(
           "--seeds", seeds, "peer addresses of other daemons, comma-separated"))
       ->delimiter(',')
-      ->check(checkAddress)
+      ->check(validateAddress)
       ->type_name("IP:PORT,...");
-  addLogLevel(app, s.LogLevel);
-  withEnvironment(app.add_option("--drain-ms", s.DrainMs,
-                                 "time that a planned stop may take"))
+  addLogLevelOption(app, s.LogLevel);
+  bindEnvironmentVariable(app.add_option("--drain-ms", s.DrainMs,
+                                         "time that a planned stop may take"))
       ->check(CLI::Range(0, 600000))
       ->capture_default_str();
 }
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -15,13 +15,13 @@
 
 void addName(CLI::App &app, const std::string &flag, std::string &to,
              const std::string &help) {
-  withEnvironment(app.add_option(flag, to, help)->type_name("NAME"))
+  bindEnvironmentVariable(app.add_option(flag, to, help)->type_name("NAME"))
       ->required();
 }
 
 void addListeners(CLI::App &app, SidecarSettings &s) {
   const auto add = [&app](const char *flag, Address &to, const char *help) {
-    withEnvironment(addAddress(app, flag, to, help))->required();
+    bindEnvironmentVariable(addAddressOption(app, flag, to, help))->required();
   };
   add("--caller-listen", s.CallerListen, "address for clients");
   add("--readiness-listen", s.ReadinessListen, "address for readiness checks");
@@ -49,20 +49,20 @@
   addListeners(app, s);
   addName(app, "--data-centre", s.DataCentre, "data centre of this host");
   addName(app, "--service", s.Service, "service of the backend server");
-  withEnvironment(app.add_option("--grace-seconds", graceSeconds,
-                                 "time that a planned stop may take"))
+  bindEnvironmentVariable(app.add_option("--grace-seconds", graceSeconds,
+                                         "time that a planned stop may take"))
       ->check(CLI::Range(MinGraceSeconds, MaxGraceSeconds))
       ->capture_default_str();
-  withEnvironment(
+  bindEnvironmentVariable(
       app.add_option("--exposure-share", s.Exposure.Share,
                      "part of a service's requests that a bad version may get"))
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  withEnvironment(app.add_option("--exposure-slack", s.Exposure.Slack,
-                                 "requests that it may get besides"))
+  bindEnvironmentVariable(app.add_option("--exposure-slack", s.Exposure.Slack,
+                                         "requests that it may get besides"))
       ->check(CLI::Range(0.0, MaxExposureSlack))
       ->capture_default_str();
-  addLogLevel(app, s.LogLevel);
+  addLogLevelOption(app, s.LogLevel);
   if (auto exit = parseCommandLine(app, "chivefold-sidecar", argc, argv)) {
     parsed.Output = std::move(exit->Output);
     parsed.ExitCode = exit->Code;
