--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -5,7 +5,7 @@
 namespace chivefold {
 namespace {
 
-std::string checkName(const std::string &text) {
+std::string validateName(const std::string &text) {
   const auto bad = text.find_first_not_of(
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.");
   if (!text.empty() && text.size() <= 64 && bad == std::string::npos) {
@@ -15,7 +15,7 @@
          "'";
 }
 
-std::string checkUrl(const std::string &text) {
+std::string validateLogUrl(const std::string &text) {
   constexpr std::string_view scheme = "http://";
   if (text.rfind(scheme, 0) == 0 &&
       parseAddress(std::string_view(text).substr(scheme.size()))) {
@@ -24,7 +24,7 @@
   return "expected http://IP:PORT, got '" + text + "'";
 }
 
-void addListeners(CLI::App &app, Settings &s) {
+void addAddressOptions(CLI::App &app, Settings &s) {
   bindEnvironmentVariable(addAddressOption(app, "--caller-listen",
                                            s.CallerListen,
                                            "address for callers (HTTP)"))
@@ -41,12 +41,12 @@
       ->required();
 }
 
-void addIdentity(CLI::App &app, Settings &s) {
+void addIdentityOptions(CLI::App &app, Settings &s) {
   const auto name = [&app](const char *flag, std::string &to,
                            const char *help) {
     bindEnvironmentVariable(app.add_option(flag, to, help))
         ->required()
-        ->check(checkName)
+        ->check(validateName)
         ->type_name("NAME");
   };
   name("--data-centre", s.DataCentre, "data centre of this host");
@@ -55,11 +55,11 @@
   name("--service-version", s.ServiceVersion, "version of the backend server");
 }
 
-void addRest(CLI::App &app, Settings &s) {
+void addRuntimeOptions(CLI::App &app, Settings &s) {
   bindEnvironmentVariable(
       app.add_option("--log-url", s.LogUrl, "the platform's log"))
       ->required()
-      ->check(checkUrl)
+      ->check(validateLogUrl)
       ->type_name("http://IP:PORT");
   const auto seeds = [&s](const std::vector<std::string> &texts) {
     for (const auto &it : texts) {
@@ -85,9 +85,9 @@
   ParsedSettings parsed;
   Settings s;
   CLI::App app("chivefoldd: proxy, gate and member beside one backend server");
-  addListeners(app, s);
-  addIdentity(app, s);
-  addRest(app, s);
+  addAddressOptions(app, s);
+  addIdentityOptions(app, s);
+  addRuntimeOptions(app, s);
   if (auto exit = parseCommandLine(app, "chivefoldd", argc, argv)) {
     parsed.Output = std::move(exit->Output);
     parsed.ExitCode = exit->Code;
