--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -43,7 +43,7 @@
 };
 
 /** Answer of a blocking HTTP request. */
-struct PlainResponse {
+struct BlockingHttpResponse {
   int Status = 0;
   std::string Body;
   /** Offset of the next append, from the log's answers. */
@@ -52,23 +52,24 @@
 };
 
 /** Blocking HTTP. Implementations need not be thread-safe. */
-class PlainHttp {
+class BlockingHttpClient {
 public:
-  virtual ~PlainHttp() = default;
+  virtual ~BlockingHttpClient() = default;
   /** @param method "GET", "POST" or "PUT". @return the complete answer, or
    * ConnectionFailed; the request may nevertheless have had effect. */
-  virtual Result<PlainResponse> request(const std::string &method,
-                                        const std::string &url,
-                                        const std::string &body) = 0;
+  virtual Result<BlockingHttpResponse> request(const std::string &method,
+                                               const std::string &url,
+                                               const std::string &body) = 0;
 };
 
 /** @return HTTP by libcurl. Each request takes at most @p timeout and uses a
  * new connection, since a reused one may be sent twice by libcurl. */
-std::unique_ptr<PlainHttp> makePlainHttp(std::chrono::milliseconds timeout);
+std::unique_ptr<BlockingHttpClient>
+makeBlockingHttpClient(std::chrono::milliseconds timeout);
 
 /** What the commands need besides their flags. */
 struct OperatorContext {
-  PlainHttp &Http;
+  BlockingHttpClient &Http;
   std::function<RecordId()> NewId;
   std::function<UtcTime()> Now;
   std::function<void(std::chrono::milliseconds)> Sleep;
@@ -110,8 +111,8 @@
   std::string writerAt(LogOffset offset) const;
 
 private:
-  Result<PlainResponse> read(LogOffset from);
-  Status applyBatch(const PlainResponse &response, LogOffset from);
+  Result<BlockingHttpResponse> read(LogOffset from);
+  Status applyBatch(const BlockingHttpResponse &response, LogOffset from);
   Status recoverTrimmed(LogOffset first);
   Status appendOne(const Record &record);
 
--- a/src/daemon/operator_http.cpp
+++ b/src/daemon/operator_http.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /** Largest answer: a full read of the log or the state of a large fleet. */
-constexpr std::size_t MaxAnswerBytes = 64U << 20U;
+constexpr std::size_t MaxResponseBytes = 64U << 20U;
 
 std::size_t appendBody(char *data, std::size_t size, std::size_t count,
                        void *to) {
   auto &body = *static_cast<std::string *>(to);
-  if (body.size() + size * count > MaxAnswerBytes) {
+  if (body.size() + size * count > MaxResponseBytes) {
     return 0;
   }
   body.append(data, size * count);
@@ -21,7 +21,7 @@
 
 std::size_t readHeader(char *data, std::size_t size, std::size_t count,
                        void *to) {
-  auto &response = *static_cast<PlainResponse *>(to);
+  auto &response = *static_cast<BlockingHttpResponse *>(to);
   const std::string line(data, size * count);
   const auto colon = line.find(':');
   if (colon != std::string::npos) {
@@ -41,19 +41,20 @@
   return size * count;
 }
 
-class CurlHttp : public PlainHttp {
+class CurlHttpClient : public BlockingHttpClient {
 public:
-  explicit CurlHttp(std::chrono::milliseconds timeout) : Timeout(timeout) {
+  explicit CurlHttpClient(std::chrono::milliseconds timeout)
+      : Timeout(timeout) {
     curl_global_init(CURL_GLOBAL_DEFAULT);
   }
-  ~CurlHttp() override { curl_global_cleanup(); }
+  ~CurlHttpClient() override { curl_global_cleanup(); }
 
-  Result<PlainResponse> request(const std::string &method,
-                                const std::string &url,
-                                const std::string &body) override {
+  Result<BlockingHttpResponse> request(const std::string &method,
+                                       const std::string &url,
+                                       const std::string &body) override {
     const std::unique_ptr<CURL, void (*)(CURL *)> curl(curl_easy_init(),
                                                        curl_easy_cleanup);
-    PlainResponse response;
+    BlockingHttpResponse response;
     auto *c = curl.get();
     curl_easy_setopt(c, CURLOPT_URL, url.c_str());
     curl_easy_setopt(c, CURLOPT_PROXY, "");
@@ -90,8 +91,9 @@
 
 } // namespace
 
-std::unique_ptr<PlainHttp> makePlainHttp(std::chrono::milliseconds timeout) {
-  return std::make_unique<CurlHttp>(timeout);
+std::unique_ptr<BlockingHttpClient>
+makeBlockingHttpClient(std::chrono::milliseconds timeout) {
+  return std::make_unique<CurlHttpClient>(timeout);
 }
 
 } // namespace chivefold
--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -17,7 +17,7 @@
 OperatorLog::OperatorLog(OperatorContext &context, std::string baseUrl)
     : Context(context), BaseUrl(std::move(baseUrl)) {}
 
-Result<PlainResponse> OperatorLog::read(LogOffset from) {
+Result<BlockingHttpResponse> OperatorLog::read(LogOffset from) {
   const auto url = BaseUrl + "/read?from=" + std::to_string(raw(from)) +
                    "&max=" + std::to_string(LogLimits::MaxReadRecords) +
                    "&wait_ms=0";
@@ -36,7 +36,8 @@
   return logUnavailable(why);
 }
 
-Status OperatorLog::applyBatch(const PlainResponse &response, LogOffset from) {
+Status OperatorLog::applyBatch(const BlockingHttpResponse &response,
+                               LogOffset from) {
   const auto entries = parseLogEntries(response.Body, from);
   if (!entries) {
     return entries.reason();
--- a/tests/unit/fleet_report_test.cpp
+++ b/tests/unit/fleet_report_test.cpp
@@ -13,20 +13,20 @@
 namespace {
 
 /** Daemons by URL without "http://"; others do not answer. */
-class FakeDaemons : public PlainHttp {
+class FakeDaemons : public BlockingHttpClient {
 public:
   std::map<std::string, std::string> Bodies;
   std::vector<std::string> Requests;
 
-  Result<PlainResponse> request(const std::string &method,
-                                const std::string &url,
-                                const std::string & /*body*/) override {
+  Result<BlockingHttpResponse> request(const std::string &method,
+                                       const std::string &url,
+                                       const std::string & /*body*/) override {
     Requests.push_back(method + " " + url.substr(7));
     const auto it = Bodies.find(url.substr(7));
     if (it == Bodies.end()) {
       return Reason{ErrorCode::ConnectionFailed, "refused"};
     }
-    return PlainResponse{200, it->second, {}, {}};
+    return BlockingHttpResponse{200, it->second, {}, {}};
   }
 };
 
--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -10,7 +10,7 @@
 enum class Fault { None, AnswerLost, RequestLost, Down };
 
 /** A log in memory; each append takes the next fault. */
-class FakeLog : public PlainHttp {
+class FakeLog : public BlockingHttpClient {
 public:
   std::vector<std::string> Records;
   std::deque<Fault> Faults;
@@ -21,12 +21,12 @@
   std::vector<std::string> Puts;
   int PutStatus = 200;
 
-  Result<PlainResponse> request(const std::string &method,
-                                const std::string &url,
-                                const std::string &body) override {
+  Result<BlockingHttpResponse> request(const std::string &method,
+                                       const std::string &url,
+                                       const std::string &body) override {
     if (method == "PUT") {
       Puts.push_back(url);
-      return PlainResponse{PutStatus, "", {}, {}};
+      return BlockingHttpResponse{PutStatus, "", {}, {}};
     }
     if (Down) {
       return Reason{ErrorCode::ConnectionFailed, "refused"};
@@ -35,7 +35,7 @@
   }
 
 private:
-  Result<PlainResponse> append(const std::string &body) {
+  Result<BlockingHttpResponse> append(const std::string &body) {
     const auto fault = Faults.empty() ? Fault::None : Faults.front();
     if (!Faults.empty()) {
       Faults.pop_front();
@@ -50,13 +50,13 @@
     if (fault != Fault::None) {
       return Reason{ErrorCode::ConnectionFailed, "timed out"};
     }
-    return PlainResponse{200, std::to_string(Records.size()), {}, {}};
+    return BlockingHttpResponse{200, std::to_string(Records.size()), {}, {}};
   }
 
-  PlainResponse read(const std::string &url) {
+  BlockingHttpResponse read(const std::string &url) {
     const auto from = std::stoul(url.substr(url.find("from=") + 5));
-    PlainResponse response{200, "", LogOffset{Records.size() + 1},
-                           LogOffset{1}};
+    BlockingHttpResponse response{200, "", LogOffset{Records.size() + 1},
+                                  LogOffset{1}};
     for (auto n = from; n <= Records.size(); ++n) {
       const auto add = [&](std::uint64_t value, int bytes) {
         for (; bytes > 0; --bytes, value >>= 8U) {
--- a/tools/chivefold.cpp
+++ b/tools/chivefold.cpp
@@ -40,7 +40,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  const auto http = makePlainHttp(RequestTimeout);
+  const auto http = makeBlockingHttpClient(RequestTimeout);
   OperatorContext context{
       *http, randomId, utcNow,
       [](std::chrono::milliseconds t) { std::this_thread::sleep_for(t); },
