--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -81,13 +81,13 @@
  * The log as operators use it. Replays all retained records into a
  * ControlState; never guesses what became of an append. Not thread-safe.
  */
-class OperatorLog {
+class OperatorLogClient {
 public:
   /** Requests that one step makes while the log gives no answer. */
-  static constexpr int MaxTries = 5;
-  static constexpr std::chrono::milliseconds RetryPause{300};
+  static constexpr int MaxAttempts = 5;
+  static constexpr std::chrono::milliseconds RetryDelay{300};
 
-  OperatorLog(OperatorContext &context, std::string baseUrl);
+  OperatorLogClient(OperatorContext &context, std::string baseUrl);
 
   /** Replays up to the tail. Errors: LogUnavailable, LogTrimmed if neither the
    * first record nor a snapshot is retained. */
@@ -113,7 +113,7 @@
 private:
   Result<BlockingHttpResponse> read(LogOffset from);
   Status applyBatch(const BlockingHttpResponse &response, LogOffset from);
-  Status recoverTrimmed(LogOffset first);
+  Status restoreFromSnapshot(LogOffset first);
   Status appendOne(const Record &record);
 
   OperatorContext &Context;
--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -50,7 +50,7 @@
                 {{"id", toString(id)}}, asJson);
 }
 
-std::string refusal(const Verdict &v, const OperatorLog &log) {
+std::string refusal(const Verdict &v, const OperatorLogClient &log) {
   if (v.Kind == VerdictKind::LostRace) {
     const auto writer =
         v.WinnerWriter.empty() ? log.writerAt(v.WinnerOffset) : v.WinnerWriter;
@@ -60,7 +60,7 @@
   return std::string(verdictName(v.Kind));
 }
 
-OperatorResult judged(const Verdict &v, const OperatorLog &log,
+OperatorResult judged(const Verdict &v, const OperatorLogClient &log,
                       const RecordId &id, bool asJson) {
   json details = {{"offset", raw(v.Offset)},
                   {"verdict", verdictName(v.Kind)},
@@ -77,7 +77,7 @@
                 "refused, not in force: " + refusal(v, log), details, asJson);
 }
 
-OperatorResult appendAndReport(OperatorLog &log,
+OperatorResult appendAndReport(OperatorLogClient &log,
                                const std::vector<Record> &records,
                                bool asJson) {
   const auto &id = records.back().Id;
@@ -112,7 +112,7 @@
   if (!config) {
     return badText(config.reason(), json);
   }
-  OperatorLog log(context, logUrl);
+  OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
     return failed(read.reason(), json);
@@ -135,7 +135,7 @@
   if (!config) {
     return badText(config.reason(), options.Json);
   }
-  OperatorLog log(context, options.LogUrl);
+  OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
     return failed(read.reason(), options.Json);
@@ -159,7 +159,7 @@
 
 OperatorResult resumeApply(const RecordId &id, OperatorContext &context,
                            const ApplyOptions &options) {
-  OperatorLog log(context, options.LogUrl);
+  OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
     return unknown(read.reason(), id, options.Json);
@@ -181,7 +181,7 @@
 OperatorResult recordDataCentre(const std::string &dataCentre, bool takenOut,
                                 OperatorContext &context,
                                 const std::string &logUrl, bool json) {
-  OperatorLog log(context, logUrl);
+  OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
     return failed(read.reason(), json);
--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -8,36 +8,37 @@
 namespace chivefold {
 namespace {
 
-Reason logUnavailable(const std::string &why) {
-  return {ErrorCode::LogUnavailable, "the log gives no answer: " + why};
+Reason logUnavailable(const std::string &lastError) {
+  return {ErrorCode::LogUnavailable, "the log gives no answer: " + lastError};
 }
 
 } // namespace
 
-OperatorLog::OperatorLog(OperatorContext &context, std::string baseUrl)
+OperatorLogClient::OperatorLogClient(OperatorContext &context,
+                                     std::string baseUrl)
     : Context(context), BaseUrl(std::move(baseUrl)) {}
 
-Result<BlockingHttpResponse> OperatorLog::read(LogOffset from) {
+Result<BlockingHttpResponse> OperatorLogClient::read(LogOffset from) {
   const auto url = BaseUrl + "/read?from=" + std::to_string(raw(from)) +
                    "&max=" + std::to_string(LogLimits::MaxReadRecords) +
                    "&wait_ms=0";
-  std::string why;
-  for (int n = 0; n < MaxTries; ++n) {
+  std::string lastError;
+  for (int n = 0; n < MaxAttempts; ++n) {
     if (n > 0) {
-      Context.Sleep(RetryPause);
+      Context.Sleep(RetryDelay);
     }
     auto response = Context.Http.request("GET", url, "");
     if (response && (response->Status == 200 || response->Status == 410)) {
       return response;
     }
-    why = response ? "status " + std::to_string(response->Status)
-                   : response.reason().Message;
+    lastError = response ? "status " + std::to_string(response->Status)
+                         : response.reason().Message;
   }
-  return logUnavailable(why);
+  return logUnavailable(lastError);
 }
 
-Status OperatorLog::applyBatch(const BlockingHttpResponse &response,
-                               LogOffset from) {
+Status OperatorLogClient::applyBatch(const BlockingHttpResponse &response,
+                                     LogOffset from) {
   const auto entries = parseLogEntries(response.Body, from);
   if (!entries) {
     return entries.reason();
@@ -58,7 +59,7 @@
   return Done{};
 }
 
-Status OperatorLog::recoverTrimmed(LogOffset first) {
+Status OperatorLogClient::restoreFromSnapshot(LogOffset first) {
   SnapshotScan scan(first);
   for (bool more = true; more;) {
     const auto response = read(scan.next());
@@ -86,7 +87,7 @@
   return Done{};
 }
 
-Status OperatorLog::readToTail() {
+Status OperatorLogClient::readToTail() {
   int recoveries = 0;
   while (true) {
     const auto from = LogOffset{raw(State.applied()) + 1};
@@ -95,12 +96,12 @@
       return response.reason();
     }
     if (response->Status == 410) {
-      if (recoveries == MaxTries || response->LogFirst <= from) {
+      if (recoveries == MaxAttempts || response->LogFirst <= from) {
         return Reason{ErrorCode::LogTrimmed,
                       "the log no longer retains " + std::to_string(raw(from))};
       }
       ++recoveries;
-      auto status = recoverTrimmed(response->LogFirst);
+      auto status = restoreFromSnapshot(response->LogFirst);
       if (!status) {
         return status;
       }
@@ -117,14 +118,14 @@
   }
 }
 
-Status OperatorLog::appendOne(const Record &record) {
+Status OperatorLogClient::appendOne(const Record &record) {
   const auto bytes = encodeRecord(record);
-  bool mayBeThere = false;
-  for (int n = 0; n < MaxTries; ++n) {
+  bool mayBeAppended = false;
+  for (int n = 0; n < MaxAttempts; ++n) {
     if (n > 0) {
-      Context.Sleep(RetryPause);
+      Context.Sleep(RetryDelay);
     }
-    if (mayBeThere) {
+    if (mayBeAppended) {
       // The answer was lost: look for the record before it is sent again. A
       // second copy with the same id is ignored by all readers.
       if (!readToTail()) {
@@ -144,7 +145,7 @@
                     "the log refused the record with status " +
                         std::to_string(response->Status)};
     }
-    mayBeThere = true;
+    mayBeAppended = true;
   }
   if (readToTail() && State.verdict(record.Id)) {
     return Done{};
@@ -153,7 +154,7 @@
   return Reason{ErrorCode::OutcomeUnknown, "the log gives no answer"};
 }
 
-Result<Verdict> OperatorLog::append(const std::vector<Record> &records) {
+Result<Verdict> OperatorLogClient::append(const std::vector<Record> &records) {
   for (const auto &it : records) {
     const auto status = appendOne(it);
     if (!status && &it != &records.back()) {
@@ -177,7 +178,7 @@
   return verdict;
 }
 
-Result<Verdict> OperatorLog::find(const RecordId &id) const {
+Result<Verdict> OperatorLogClient::find(const RecordId &id) const {
   const auto verdict = State.verdict(id);
   if (!verdict) {
     return Reason{ErrorCode::NotFound, "no record " + toString(id)};
@@ -185,7 +186,7 @@
   return *verdict;
 }
 
-std::string OperatorLog::writerAt(LogOffset offset) const {
+std::string OperatorLogClient::writerAt(LogOffset offset) const {
   const auto it = Writers.find(offset);
   return it == Writers.end() ? "" : it->second;
 }
