--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -23,7 +23,7 @@
 namespace chivefold {
 
 /** Exit codes of the command `chivefold`. */
-enum class OperatorExit : int {
+enum class OperatorExitCode : int {
   Ok = 0,
   /** Refused, or failed with certainty. */
   Refused = 1,
@@ -35,7 +35,7 @@
 
 /** What a command prints, and its exit code. */
 struct OperatorResult {
-  OperatorExit Exit = OperatorExit::Ok;
+  OperatorExitCode Exit = OperatorExitCode::Ok;
   /** For standard output. */
   std::string Output;
   /** One line for standard error, empty on success. */
--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-OperatorResult report(OperatorExit exit, const std::string &outcome,
+OperatorResult report(OperatorExitCode exit, const std::string &outcome,
                       const std::string &message, json details, bool asJson) {
   OperatorResult result;
   result.Exit = exit;
@@ -20,7 +20,7 @@
     details["message"] = message;
     result.Output =
         details.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
-  } else if (exit == OperatorExit::Ok) {
+  } else if (exit == OperatorExitCode::Ok) {
     result.Output = message + "\n";
   } else {
     result.Error = message;
@@ -29,21 +29,21 @@
 }
 
 OperatorResult badText(const Reason &reason, bool asJson) {
-  return report(OperatorExit::BadInput, "bad-text", toString(reason),
+  return report(OperatorExitCode::BadInput, "bad-text", toString(reason),
                 {{"line", reason.Line}, {"column", reason.Column}}, asJson);
 }
 
 /** For failures before anything was appended. */
 OperatorResult failed(const Reason &reason, bool asJson) {
   const bool unknown = reason.Code == ErrorCode::LogUnavailable;
-  return report(unknown ? OperatorExit::Unknown : OperatorExit::Refused,
+  return report(unknown ? OperatorExitCode::Unknown : OperatorExitCode::Refused,
                 unknown ? "unknown" : "failed",
                 reason.Message + "; nothing was appended", json::object(),
                 asJson);
 }
 
 OperatorResult unknown(const Reason &reason, const RecordId &id, bool asJson) {
-  return report(OperatorExit::Unknown, "unknown",
+  return report(OperatorExitCode::Unknown, "unknown",
                 "unknown: " + reason.Message +
                     "; ask again with `chivefold apply --resume " +
                     toString(id) + "`",
@@ -66,14 +66,14 @@
                   {"verdict", verdictName(v.Kind)},
                   {"id", toString(id)}};
   if (v.Kind == VerdictKind::Counted) {
-    return report(OperatorExit::Ok, "accepted",
+    return report(OperatorExitCode::Ok, "accepted",
                   "accepted at offset " + std::to_string(raw(v.Offset)),
                   details, asJson);
   }
   if (v.WinnerOffset != LogOffset::None) {
     details["winner"] = raw(v.WinnerOffset);
   }
-  return report(OperatorExit::Refused, "refused",
+  return report(OperatorExitCode::Refused, "refused",
                 "refused, not in force: " + refusal(v, log), details, asJson);
 }
 
@@ -88,7 +88,7 @@
   if (verdict.reason().Code == ErrorCode::OutcomeUnknown) {
     return unknown(verdict.reason(), id, asJson);
   }
-  return report(OperatorExit::Refused, "failed", verdict.reason().Message,
+  return report(OperatorExitCode::Refused, "failed", verdict.reason().Message,
                 {{"id", toString(id)}}, asJson);
 }
 
@@ -100,7 +100,7 @@
   if (!config) {
     return badText(config.reason(), json);
   }
-  return report(OperatorExit::Ok, "good",
+  return report(OperatorExitCode::Ok, "good",
                 "good: " + std::to_string(config->Services.size()) +
                     " services",
                 {{"services", config->Services.size()}}, json);
@@ -123,7 +123,7 @@
     lines.pop_back();
   }
   return report(
-      OperatorExit::Ok, sections.empty() ? "same" : "different",
+      OperatorExitCode::Ok, sections.empty() ? "same" : "different",
       sections.empty() ? "no difference" : lines,
       {{"version", raw(log.state().version())}, {"sections", sections.size()}},
       json);
@@ -143,7 +143,7 @@
   auto sections = difference(*log.state().configuration(), *config);
   const auto version = log.state().version();
   if (sections.empty()) {
-    return report(OperatorExit::Ok, "same",
+    return report(OperatorExitCode::Ok, "same",
                   "no difference to version " + std::to_string(raw(version)) +
                       ", nothing was appended",
                   {{"version", raw(version)}}, options.Json);
@@ -166,7 +166,7 @@
   }
   const auto verdict = log.find(id);
   if (!verdict) {
-    return report(OperatorExit::Unknown, "unknown",
+    return report(OperatorExitCode::Unknown, "unknown",
                   "unknown: the retained log has no record " + toString(id) +
                       "; it was not accepted unless its append is still on "
                       "its way or its record is no longer retained",
@@ -195,7 +195,7 @@
   // A put-back is always appended: it also ends a take-out that so far only
   // spreads between daemons and is not in the log.
   if (takenOut && log.state().takenOut(dataCentre)) {
-    return report(OperatorExit::Ok, "same",
+    return report(OperatorExitCode::Ok, "same",
                   dataCentre + " is already taken out, nothing was appended",
                   nlohmann::json::object(), json);
   }
@@ -233,7 +233,7 @@
                              OperatorContext &context,
                              const DataCentreOptions &options) {
   if (!isPlainName(dataCentre)) {
-    return report(OperatorExit::BadInput, "bad-name",
+    return report(OperatorExitCode::BadInput, "bad-name",
                   "expected the name of a data centre, got '" + dataCentre +
                       "'",
                   json::object(), options.Json);
@@ -247,7 +247,7 @@
   if (!asked) {
     return result;
   }
-  const bool recorded = result.Exit == OperatorExit::Ok;
+  const bool recorded = result.Exit == OperatorExitCode::Ok;
   if (options.Json) {
     auto details = json::parse(result.Output);
     details["spread"] = fault.empty();
--- a/src/daemon/operator_commands.cpp
+++ b/src/daemon/operator_commands.cpp
@@ -134,7 +134,7 @@
 }
 
 OperatorResult badInput(const std::string &message) {
-  return {OperatorExit::BadInput, "", message};
+  return {OperatorExitCode::BadInput, "", message};
 }
 
 std::optional<std::string> readFile(const std::string &path) {
@@ -168,7 +168,7 @@
     }
     result = applyText(*text, context, options);
   }
-  if (result.Exit == OperatorExit::BadInput && !result.Error.empty()) {
+  if (result.Exit == OperatorExitCode::BadInput && !result.Error.empty()) {
     result.Error = flags.File + ": " + result.Error;
   }
   return result;
@@ -219,10 +219,10 @@
     app.parse(argc, argv);
   } catch (const CLI::CallForHelp &) {
     const auto subs = app.get_subcommands();
-    return {OperatorExit::Ok,
+    return {OperatorExitCode::Ok,
             subs.empty() ? app.help() : subs.front()->help("chivefold"), ""};
   } catch (const CLI::CallForVersion &) {
-    return {OperatorExit::Ok, std::string(ProgramVersion) + "\n", ""};
+    return {OperatorExitCode::Ok, std::string(ProgramVersion) + "\n", ""};
   } catch (const CLI::ParseError &e) {
     return badInput(e.what());
   }
--- a/src/daemon/operator_report.cpp
+++ b/src/daemon/operator_report.cpp
@@ -10,17 +10,18 @@
   const auto report =
       collectReport(context, options.Admins, options.WholeFleet);
   if (!report) {
-    return {OperatorExit::Refused, "", report.reason().Message};
+    return {OperatorExitCode::Refused, "", report.reason().Message};
   }
   if (!options.HtmlFile.empty()) {
     std::ofstream out(options.HtmlFile, std::ios::binary);
     out << reportHtml(*report, context.Now());
     out.close();
     if (!out) {
-      return {OperatorExit::Refused, "", "cannot write " + options.HtmlFile};
+      return {OperatorExitCode::Refused, "",
+              "cannot write " + options.HtmlFile};
     }
   }
-  return {OperatorExit::Ok,
+  return {OperatorExitCode::Ok,
           options.Json ? reportJson(*report) : reportText(*report), ""};
 }
 
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -63,20 +63,20 @@
   const auto url = "http://" + toString(admin) + "/-/state";
   const auto response = context.Http.request("GET", url, "");
   if (!response || response->Status != 200) {
-    return {OperatorExit::Refused, "",
+    return {OperatorExitCode::Refused, "",
             "no answer from " + url + ": " +
                 (response ? "status " + std::to_string(response->Status)
                           : response.reason().Message)};
   }
   const auto value = json::parse(response->Body, nullptr, false);
   if (!value.is_object()) {
-    return {OperatorExit::Refused, "",
+    return {OperatorExitCode::Refused, "",
             "the answer from " + url + " is not a JSON object"};
   }
   if (asJson) {
-    return {OperatorExit::Ok, response->Body, ""};
+    return {OperatorExitCode::Ok, response->Body, ""};
   }
-  return {OperatorExit::Ok,
+  return {OperatorExitCode::Ok,
           view == OperatorView::Status ? status(value) : moves(value), ""};
 }
 
--- a/tests/unit/fleet_report_test.cpp
+++ b/tests/unit/fleet_report_test.cpp
@@ -93,7 +93,7 @@
   Fixture f;
   const auto result = f.run({"report", "--admin", "127.0.0.1:1", "--admin",
                              "127.0.0.1:1", "--fleet", "--json"});
-  REQUIRE(result.Exit == OperatorExit::Ok);
+  REQUIRE(result.Exit == OperatorExitCode::Ok);
   const auto out = json::parse(result.Output);
   CHECK(out["answered"] == 2);
   CHECK(out["failed"].size() == 2);
@@ -122,7 +122,7 @@
   const auto result =
       f.run({"report", "--admin", "127.0.0.1:1", "--admin", "127.0.0.1:2",
              "--admin", "127.0.0.1:3", "--html", path.c_str()});
-  REQUIRE(result.Exit == OperatorExit::Ok);
+  REQUIRE(result.Exit == OperatorExitCode::Ok);
   for (const auto *part :
        {"2 daemons answered, 1 did not", "no answer from 127.0.0.1:3: refused",
         "book", "100%", "180 of 200", "taken-back", "noon", "east",
@@ -160,7 +160,7 @@
     CHECK(report->Series.at({"desk", "book"}).Answered == 90);
     f.Daemons.Bodies.erase("127.0.0.1:1/-/report");
     CHECK(f.run({"report", "--admin", "127.0.0.1:2"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
   }
 }
 
@@ -191,9 +191,9 @@
     const auto asJson = f.run({view, "--admin", "127.0.0.1:1", "--json"});
     CHECK(json::parse(asJson.Output)["moves"].size() == 1);
     CHECK(f.run({view, "--admin", "127.0.0.1:2"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
     f.Daemons.Bodies["127.0.0.1:3/-/state"] = "<html>";
     CHECK(f.run({view, "--admin", "127.0.0.1:3", "--json"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
   }
 }
--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -100,12 +100,12 @@
 TEST_CASE("apply appends only real changes", "[operator]") {
   Fixture f;
   const auto bad = f.apply("[fleet]\n");
-  CHECK(bad.Exit == OperatorExit::BadInput);
+  CHECK(bad.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(bad.Error, Catch::StartsWith("line 1, column 1: "));
   CHECK(f.Log.Records.empty());
   CHECK(f.apply(textWith("['a']")).Output == "accepted at offset 1\n");
   const auto same = f.apply(textWith("['a']"));
-  CHECK(same.Exit == OperatorExit::Ok);
+  CHECK(same.Exit == OperatorExitCode::Ok);
   CHECK_THAT(same.Output, Catch::Contains("nothing was appended"));
   CHECK(f.Log.Records.size() == 1);
 }
@@ -115,11 +115,11 @@
   Fixture f;
   f.Log.Rival = rivalChange(Version::None);
   const auto lost = f.apply(textWith("['a']"));
-  CHECK(lost.Exit == OperatorExit::Refused);
+  CHECK(lost.Exit == OperatorExitCode::Refused);
   CHECK(lost.Error == "refused, not in force: lost race to offset 1 by bilal");
   // A stale base loses even when nothing races.
   CHECK(f.apply(textWith("['a']"), Version::None).Exit ==
-        OperatorExit::Refused);
+        OperatorExitCode::Refused);
 }
 
 // Guards against a lost answer that is reported as a failure, or appended
@@ -139,18 +139,18 @@
   Fixture f;
   f.Log.Faults = {Fault::Down};
   const auto unknown = f.apply(textWith("['a']"));
-  CHECK(unknown.Exit == OperatorExit::Unknown);
+  CHECK(unknown.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(
       unknown.Error,
       Catch::Contains("apply --resume 01000000000000000000000000000000"));
   f.Log.Down = true;
   const auto unread = f.apply(textWith("['a']"));
-  CHECK(unread.Exit == OperatorExit::Unknown);
+  CHECK(unread.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(unread.Error, Catch::Contains("nothing was appended"));
   f.Log.Down = false;
   CHECK(resumeApply(RecordId{{1}}, f.Context, {"http://x", {}, false}).Exit ==
-        OperatorExit::Unknown);
-  CHECK(f.apply(textWith("['a']")).Exit == OperatorExit::Ok);
+        OperatorExitCode::Unknown);
+  CHECK(f.apply(textWith("['a']")).Exit == OperatorExitCode::Ok);
   CHECK(resumeApply(RecordId{{2}}, f.Context, {"http://x", {}, false}).Output ==
         "accepted at offset 1\n");
 }
@@ -163,29 +163,29 @@
     return runOperator(static_cast<int>(args.size()), args.data(), f.Context)
         .Exit;
   };
-  CHECK(exit({"--version"}) == OperatorExit::Ok);
-  CHECK(exit({"apply", "--help"}) == OperatorExit::Ok);
-  CHECK(exit({}) == OperatorExit::BadInput);
-  CHECK(exit({"check", "/nonexistent"}) == OperatorExit::BadInput);
-  CHECK(exit({"status", "--admin", "localhost"}) == OperatorExit::BadInput);
+  CHECK(exit({"--version"}) == OperatorExitCode::Ok);
+  CHECK(exit({"apply", "--help"}) == OperatorExitCode::Ok);
+  CHECK(exit({}) == OperatorExitCode::BadInput);
+  CHECK(exit({"check", "/nonexistent"}) == OperatorExitCode::BadInput);
+  CHECK(exit({"status", "--admin", "localhost"}) == OperatorExitCode::BadInput);
   CHECK(exit({"apply", "--log-url", "http://127.0.0.1:1"}) ==
-        OperatorExit::BadInput);
+        OperatorExitCode::BadInput);
   CHECK(exit({"apply", "--resume", "12", "--log-url", "http://127.0.0.1:1"}) ==
-        OperatorExit::BadInput);
+        OperatorExitCode::BadInput);
 }
 
 // Guards against a take-out that waits for the log, and against output that
 // does not tell what took effect.
 TEST_CASE("take-out says whether it is spread and recorded", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a', 'b']")).Exit == OperatorExit::Ok);
+  REQUIRE(f.apply(textWith("['a', 'b']")).Exit == OperatorExitCode::Ok);
   const auto set = [&](bool takenOut, bool json = false) {
     return setDataCentre("b", takenOut, f.Context,
                          {"http://x", Address{"127.0.0.1", 3}, json});
   };
   f.Log.Down = true;
   const auto outage = set(true);
-  CHECK(outage.Exit == OperatorExit::Unknown);
+  CHECK(outage.Exit == OperatorExitCode::Unknown);
   CHECK(outage.Output == "spread now by 127.0.0.1:3\nrecorded not yet\n");
   CHECK(f.Log.Puts.at(0) == "http://127.0.0.1:3/-/take-out?data_centre=b");
   CHECK_THAT(set(true, true).Output,
@@ -195,7 +195,7 @@
   f.Log.PutStatus = 404;
   const auto recorded = set(true);
   INFO(recorded.Error);
-  CHECK(recorded.Exit == OperatorExit::Ok);
+  CHECK(recorded.Exit == OperatorExitCode::Ok);
   CHECK(recorded.Output ==
         "not spread by 127.0.0.1:3: status 404\nrecorded at offset 2\n");
   const auto puts = f.Log.Puts.size();
@@ -203,14 +203,14 @@
   CHECK(f.Log.Puts.size() == puts);
   const auto odd =
       setDataCentre("b&x", true, f.Context, {"http://x", {}, true});
-  CHECK(odd.Exit == OperatorExit::BadInput);
+  CHECK(odd.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(odd.Output, Catch::Contains("\"outcome\": \"bad-name\""));
 }
 
 // Guards against a diff that appends, or hides a change.
 TEST_CASE("diff shows changes and appends nothing", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a']")).Exit == OperatorExit::Ok);
+  REQUIRE(f.apply(textWith("['a']")).Exit == OperatorExitCode::Ok);
   const auto diff = [&](const char *centres, bool json) {
     return diffText(textWith(centres), f.Context, "http://x", json).Output;
   };
