--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -130,12 +130,13 @@
                            OperatorContext &context);
 
 /** Compiles @p text, as `chivefold check` does. */
-OperatorResult checkText(const std::string &text,
-                         const OperatorContext &context, bool json);
+OperatorResult checkConfiguration(const std::string &text,
+                                  const OperatorContext &context, bool json);
 
 /** Prints what `chivefold apply` would change. */
-OperatorResult diffText(const std::string &text, OperatorContext &context,
-                        const std::string &logUrl, bool json);
+OperatorResult diffConfiguration(const std::string &text,
+                                 OperatorContext &context,
+                                 const std::string &logUrl, bool json);
 
 /** Flags of `chivefold apply`. */
 struct ApplyOptions {
@@ -146,8 +147,9 @@
 };
 
 /** Appends the difference and reports what became of it. */
-OperatorResult applyText(const std::string &text, OperatorContext &context,
-                         const ApplyOptions &options);
+OperatorResult applyConfiguration(const std::string &text,
+                                  OperatorContext &context,
+                                  const ApplyOptions &options);
 
 /** Reports what became of an apply whose outcome was unknown. */
 OperatorResult resumeApply(const RecordId &id, OperatorContext &context,
@@ -166,9 +168,9 @@
  * Takes a data centre out or puts it back. The exit code is that of the log
  * record; the output also says whether a daemon spreads the take-out.
  */
-OperatorResult setDataCentre(const std::string &dataCentre, bool takenOut,
-                             OperatorContext &context,
-                             const DataCentreOptions &options);
+OperatorResult setDataCentreTakenOut(const std::string &dataCentre,
+                                     bool takenOut, OperatorContext &context,
+                                     const DataCentreOptions &options);
 
 /** Views of a daemon's state. */
 enum class OperatorView { Status, Moves };
--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -94,8 +94,8 @@
 
 } // namespace
 
-OperatorResult checkText(const std::string &text,
-                         const OperatorContext &context, bool json) {
+OperatorResult checkConfiguration(const std::string &text,
+                                  const OperatorContext &context, bool json) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
     return badText(config.reason(), json);
@@ -106,8 +106,9 @@
                 {{"services", config->Services.size()}}, json);
 }
 
-OperatorResult diffText(const std::string &text, OperatorContext &context,
-                        const std::string &logUrl, bool json) {
+OperatorResult diffConfiguration(const std::string &text,
+                                 OperatorContext &context,
+                                 const std::string &logUrl, bool json) {
   const auto config = compileConfiguration(text);
   if (!config) {
     return badText(config.reason(), json);
@@ -129,8 +130,9 @@
       json);
 }
 
-OperatorResult applyText(const std::string &text, OperatorContext &context,
-                         const ApplyOptions &options) {
+OperatorResult applyConfiguration(const std::string &text,
+                                  OperatorContext &context,
+                                  const ApplyOptions &options) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
     return badText(config.reason(), options.Json);
@@ -229,9 +231,9 @@
 
 } // namespace
 
-OperatorResult setDataCentre(const std::string &dataCentre, bool takenOut,
-                             OperatorContext &context,
-                             const DataCentreOptions &options) {
+OperatorResult setDataCentreTakenOut(const std::string &dataCentre,
+                                     bool takenOut, OperatorContext &context,
+                                     const DataCentreOptions &options) {
   if (!isPlainName(dataCentre)) {
     return report(OperatorExitCode::BadInput, "bad-name",
                   "expected the name of a data centre, got '" + dataCentre +
--- a/src/daemon/operator_commands.cpp
+++ b/src/daemon/operator_commands.cpp
@@ -158,15 +158,15 @@
     return badInput("cannot read " + flags.File);
   }
   const auto &name = sub.get_name();
-  auto result = name == "check" ? checkText(*text, context, flags.Json)
-                : name == "diff"
-                    ? diffText(*text, context, flags.LogUrl, flags.Json)
-                    : OperatorResult();
+  auto result = name == "check" ? checkConfiguration(*text, context, flags.Json)
+                : name == "diff" ? diffConfiguration(*text, context,
+                                                     flags.LogUrl, flags.Json)
+                                 : OperatorResult();
   if (name == "apply") {
     if (sub.count("--base") != 0) {
       options.Base = Version{flags.Base};
     }
-    result = applyText(*text, context, options);
+    result = applyConfiguration(*text, context, options);
   }
   if (result.Exit == OperatorExitCode::BadInput && !result.Error.empty()) {
     result.Error = flags.File + ": " + result.Error;
@@ -189,8 +189,9 @@
                           OperatorContext &context) {
   const auto &name = sub.get_name();
   if (name == "take-out" || name == "put-back") {
-    return setDataCentre(flags.DataCentre, name == "take-out", context,
-                         {flags.LogUrl, parseAddress(flags.Admin), flags.Json});
+    return setDataCentreTakenOut(
+        flags.DataCentre, name == "take-out", context,
+        {flags.LogUrl, parseAddress(flags.Admin), flags.Json});
   }
   if (name == "report") {
     return runReport(flags, context);
--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -80,7 +80,8 @@
 
   OperatorResult apply(const std::string &text,
                        std::optional<Version> base = std::nullopt) {
-    return applyText(text, Context, {"http://127.0.0.1:1", base, false});
+    return applyConfiguration(text, Context,
+                              {"http://127.0.0.1:1", base, false});
   }
 };
 
@@ -180,8 +181,8 @@
   Fixture f;
   REQUIRE(f.apply(textWith("['a', 'b']")).Exit == OperatorExitCode::Ok);
   const auto set = [&](bool takenOut, bool json = false) {
-    return setDataCentre("b", takenOut, f.Context,
-                         {"http://x", Address{"127.0.0.1", 3}, json});
+    return setDataCentreTakenOut("b", takenOut, f.Context,
+                                 {"http://x", Address{"127.0.0.1", 3}, json});
   };
   f.Log.Down = true;
   const auto outage = set(true);
@@ -202,7 +203,7 @@
   CHECK(set(false).Output == "accepted at offset 3\n");
   CHECK(f.Log.Puts.size() == puts);
   const auto odd =
-      setDataCentre("b&x", true, f.Context, {"http://x", {}, true});
+      setDataCentreTakenOut("b&x", true, f.Context, {"http://x", {}, true});
   CHECK(odd.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(odd.Output, Catch::Contains("\"outcome\": \"bad-name\""));
 }
@@ -212,7 +213,8 @@
   Fixture f;
   REQUIRE(f.apply(textWith("['a']")).Exit == OperatorExitCode::Ok);
   const auto diff = [&](const char *centres, bool json) {
-    return diffText(textWith(centres), f.Context, "http://x", json).Output;
+    return diffConfiguration(textWith(centres), f.Context, "http://x", json)
+        .Output;
   };
   CHECK(diff("['a']", false) == "no difference\n");
   CHECK_THAT(diff("['a', 'z']", false), Catch::Contains("data centres a, z"));
