--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -11,8 +11,9 @@
 
 using nlohmann::json;
 
-OperatorResult report(OperatorExitCode exit, const std::string &outcome,
-                      const std::string &message, json details, bool asJson) {
+OperatorResult makeResult(OperatorExitCode exit, const std::string &outcome,
+                          const std::string &message, json details,
+                          bool asJson) {
   OperatorResult result;
   result.Exit = exit;
   if (asJson) {
@@ -28,29 +29,30 @@
   return result;
 }
 
-OperatorResult badText(const Reason &reason, bool asJson) {
-  return report(OperatorExitCode::BadInput, "bad-text", toString(reason),
-                {{"line", reason.Line}, {"column", reason.Column}}, asJson);
+OperatorResult invalidConfigurationResult(const Reason &reason, bool asJson) {
+  return makeResult(OperatorExitCode::BadInput, "bad-text", toString(reason),
+                    {{"line", reason.Line}, {"column", reason.Column}}, asJson);
 }
 
 /** For failures before anything was appended. */
-OperatorResult failed(const Reason &reason, bool asJson) {
+OperatorResult failedBeforeAppend(const Reason &reason, bool asJson) {
   const bool unknown = reason.Code == ErrorCode::LogUnavailable;
-  return report(unknown ? OperatorExitCode::Unknown : OperatorExitCode::Refused,
-                unknown ? "unknown" : "failed",
-                reason.Message + "; nothing was appended", json::object(),
-                asJson);
+  return makeResult(
+      unknown ? OperatorExitCode::Unknown : OperatorExitCode::Refused,
+      unknown ? "unknown" : "failed", reason.Message + "; nothing was appended",
+      json::object(), asJson);
 }
 
-OperatorResult unknown(const Reason &reason, const RecordId &id, bool asJson) {
-  return report(OperatorExitCode::Unknown, "unknown",
-                "unknown: " + reason.Message +
-                    "; ask again with `chivefold apply --resume " +
-                    toString(id) + "`",
-                {{"id", toString(id)}}, asJson);
+OperatorResult unknownOutcomeResult(const Reason &reason, const RecordId &id,
+                                    bool asJson) {
+  return makeResult(OperatorExitCode::Unknown, "unknown",
+                    "unknown: " + reason.Message +
+                        "; ask again with `chivefold apply --resume " +
+                        toString(id) + "`",
+                    {{"id", toString(id)}}, asJson);
 }
 
-std::string refusal(const Verdict &v, const OperatorLogClient &log) {
+std::string rejectionReason(const Verdict &v, const OperatorLogClient &log) {
   if (v.Kind == VerdictKind::LostRace) {
     const auto writer =
         v.WinnerWriter.empty() ? log.writerAt(v.WinnerOffset) : v.WinnerWriter;
@@ -60,21 +62,22 @@
   return std::string(verdictName(v.Kind));
 }
 
-OperatorResult judged(const Verdict &v, const OperatorLogClient &log,
-                      const RecordId &id, bool asJson) {
+OperatorResult verdictResult(const Verdict &v, const OperatorLogClient &log,
+                             const RecordId &id, bool asJson) {
   json details = {{"offset", raw(v.Offset)},
                   {"verdict", verdictName(v.Kind)},
                   {"id", toString(id)}};
   if (v.Kind == VerdictKind::Counted) {
-    return report(OperatorExitCode::Ok, "accepted",
-                  "accepted at offset " + std::to_string(raw(v.Offset)),
-                  details, asJson);
+    return makeResult(OperatorExitCode::Ok, "accepted",
+                      "accepted at offset " + std::to_string(raw(v.Offset)),
+                      details, asJson);
   }
   if (v.WinnerOffset != LogOffset::None) {
     details["winner"] = raw(v.WinnerOffset);
   }
-  return report(OperatorExitCode::Refused, "refused",
-                "refused, not in force: " + refusal(v, log), details, asJson);
+  return makeResult(OperatorExitCode::Refused, "refused",
+                    "refused, not in force: " + rejectionReason(v, log),
+                    details, asJson);
 }
 
 OperatorResult appendAndReport(OperatorLogClient &log,
@@ -83,13 +86,13 @@
   const auto &id = records.back().Id;
   const auto verdict = log.append(records);
   if (verdict) {
-    return judged(*verdict, log, id, asJson);
+    return verdictResult(*verdict, log, id, asJson);
   }
   if (verdict.reason().Code == ErrorCode::OutcomeUnknown) {
-    return unknown(verdict.reason(), id, asJson);
+    return unknownOutcomeResult(verdict.reason(), id, asJson);
   }
-  return report(OperatorExitCode::Refused, "failed", verdict.reason().Message,
-                {{"id", toString(id)}}, asJson);
+  return makeResult(OperatorExitCode::Refused, "failed",
+                    verdict.reason().Message, {{"id", toString(id)}}, asJson);
 }
 
 } // namespace
@@ -98,12 +101,12 @@
                                   const OperatorContext &context, bool json) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
-    return badText(config.reason(), json);
+    return invalidConfigurationResult(config.reason(), json);
   }
-  return report(OperatorExitCode::Ok, "good",
-                "good: " + std::to_string(config->Services.size()) +
-                    " services",
-                {{"services", config->Services.size()}}, json);
+  return makeResult(OperatorExitCode::Ok, "good",
+                    "good: " + std::to_string(config->Services.size()) +
+                        " services",
+                    {{"services", config->Services.size()}}, json);
 }
 
 OperatorResult diffConfiguration(const std::string &text,
@@ -111,19 +114,19 @@
                                  const std::string &logUrl, bool json) {
   const auto config = compileConfiguration(text);
   if (!config) {
-    return badText(config.reason(), json);
+    return invalidConfigurationResult(config.reason(), json);
   }
   OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), json);
+    return failedBeforeAppend(read.reason(), json);
   }
   const auto sections = difference(*log.state().configuration(), *config);
   auto lines = describe(sections);
   if (!lines.empty()) {
     lines.pop_back();
   }
-  return report(
+  return makeResult(
       OperatorExitCode::Ok, sections.empty() ? "same" : "different",
       sections.empty() ? "no difference" : lines,
       {{"version", raw(log.state().version())}, {"sections", sections.size()}},
@@ -135,26 +138,27 @@
                                   const ApplyOptions &options) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
-    return badText(config.reason(), options.Json);
+    return invalidConfigurationResult(config.reason(), options.Json);
   }
   OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), options.Json);
+    return failedBeforeAppend(read.reason(), options.Json);
   }
   auto sections = difference(*log.state().configuration(), *config);
   const auto version = log.state().version();
   if (sections.empty()) {
-    return report(OperatorExitCode::Ok, "same",
-                  "no difference to version " + std::to_string(raw(version)) +
-                      ", nothing was appended",
-                  {{"version", raw(version)}}, options.Json);
+    return makeResult(OperatorExitCode::Ok, "same",
+                      "no difference to version " +
+                          std::to_string(raw(version)) +
+                          ", nothing was appended",
+                      {{"version", raw(version)}}, options.Json);
   }
   const auto records =
       makeChange(options.Base.value_or(version), std::move(sections),
                  context.NewId, context.Writer);
   if (!records) {
-    return failed(records.reason(), options.Json);
+    return failedBeforeAppend(records.reason(), options.Json);
   }
   return appendAndReport(log, *records, options.Json);
 }
@@ -164,42 +168,45 @@
   OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return unknown(read.reason(), id, options.Json);
+    return unknownOutcomeResult(read.reason(), id, options.Json);
   }
   const auto verdict = log.find(id);
   if (!verdict) {
-    return report(OperatorExitCode::Unknown, "unknown",
-                  "unknown: the retained log has no record " + toString(id) +
-                      "; it was not accepted unless its append is still on "
-                      "its way or its record is no longer retained",
-                  {{"id", toString(id)}}, options.Json);
+    return makeResult(OperatorExitCode::Unknown, "unknown",
+                      "unknown: the retained log has no record " +
+                          toString(id) +
+                          "; it was not accepted unless its append is still on "
+                          "its way or its record is no longer retained",
+                      {{"id", toString(id)}}, options.Json);
   }
-  return judged(*verdict, log, id, options.Json);
+  return verdictResult(*verdict, log, id, options.Json);
 }
 
 namespace {
 
 /** Records a take-out or put-back in the log. */
-OperatorResult recordDataCentre(const std::string &dataCentre, bool takenOut,
-                                OperatorContext &context,
-                                const std::string &logUrl, bool json) {
+OperatorResult appendDataCentreRecord(const std::string &dataCentre,
+                                      bool takenOut, OperatorContext &context,
+                                      const std::string &logUrl, bool json) {
   OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), json);
+    return failedBeforeAppend(read.reason(), json);
   }
   const auto &known = log.state().configuration()->FleetSettings.DataCentres;
   if (std::find(known.begin(), known.end(), dataCentre) == known.end()) {
-    return failed({ErrorCode::NotFound,
-                   "no data centre " + dataCentre + " in the configuration"},
-                  json);
+    return failedBeforeAppend(
+        {ErrorCode::NotFound,
+         "no data centre " + dataCentre + " in the configuration"},
+        json);
   }
   // A put-back is always appended: it also ends a take-out that so far only
   // spreads between daemons and is not in the log.
   if (takenOut && log.state().takenOut(dataCentre)) {
-    return report(OperatorExitCode::Ok, "same",
-                  dataCentre + " is already taken out, nothing was appended",
-                  nlohmann::json::object(), json);
+    return makeResult(OperatorExitCode::Ok, "same",
+                      dataCentre +
+                          " is already taken out, nothing was appended",
+                      nlohmann::json::object(), json);
   }
   return appendAndReport(log,
                          {{context.NewId(), context.Writer,
@@ -208,8 +215,8 @@
 }
 
 /** @return why the daemon does not spread the take-out; empty if it does. */
-std::string spreadFault(const std::string &dataCentre, OperatorContext &context,
-                        const Address &admin) {
+std::string requestTakeOut(const std::string &dataCentre,
+                           OperatorContext &context, const Address &admin) {
   const auto response = context.Http.request(
       "PUT",
       "http://" + toString(admin) + "/-/take-out?data_centre=" + dataCentre,
@@ -222,7 +229,7 @@
 }
 
 /** Names that need no escaping in a URL; no other is in a configuration. */
-bool isPlainName(const std::string &name) {
+bool isUrlSafeName(const std::string &name) {
   return !name.empty() &&
          std::all_of(name.begin(), name.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
@@ -234,38 +241,40 @@
 OperatorResult setDataCentreTakenOut(const std::string &dataCentre,
                                      bool takenOut, OperatorContext &context,
                                      const DataCentreOptions &options) {
-  if (!isPlainName(dataCentre)) {
-    return report(OperatorExitCode::BadInput, "bad-name",
-                  "expected the name of a data centre, got '" + dataCentre +
-                      "'",
-                  json::object(), options.Json);
+  if (!isUrlSafeName(dataCentre)) {
+    return makeResult(OperatorExitCode::BadInput, "bad-name",
+                      "expected the name of a data centre, got '" + dataCentre +
+                          "'",
+                      json::object(), options.Json);
   }
-  const bool asked = takenOut && options.Admin;
+  const bool asksDaemon = takenOut && options.Admin;
   // The daemon is asked first, since it needs no answer from the log.
-  const auto fault =
-      asked ? spreadFault(dataCentre, context, *options.Admin) : "";
-  auto result = recordDataCentre(dataCentre, takenOut, context, options.LogUrl,
-                                 options.Json);
-  if (!asked) {
+  const auto takeOutError =
+      asksDaemon ? requestTakeOut(dataCentre, context, *options.Admin) : "";
+  auto result = appendDataCentreRecord(dataCentre, takenOut, context,
+                                       options.LogUrl, options.Json);
+  if (!asksDaemon) {
     return result;
   }
   const bool recorded = result.Exit == OperatorExitCode::Ok;
   if (options.Json) {
     auto details = json::parse(result.Output);
-    details["spread"] = fault.empty();
-    details["spread_fault"] = fault;
+    details["spread"] = takeOutError.empty();
+    details["spread_fault"] = takeOutError;
     details["recorded"] = recorded;
     result.Output = details.dump(2) + "\n";
     return result;
   }
   constexpr std::string_view accepted = "accepted at ";
-  const bool isNew = result.Output.compare(0, accepted.size(), accepted) == 0;
+  const bool newlyAppended =
+      result.Output.compare(0, accepted.size(), accepted) == 0;
   const auto record =
-      isNew ? "recorded at " + result.Output.substr(accepted.size())
-            : "recorded: " + result.Output;
-  const auto by = toString(*options.Admin);
-  result.Output = (fault.empty() ? "spread now by " + by
-                                 : "not spread by " + by + ": " + fault) +
+      newlyAppended ? "recorded at " + result.Output.substr(accepted.size())
+                    : "recorded: " + result.Output;
+  const auto adminAddress = toString(*options.Admin);
+  result.Output = (takeOutError.empty() ? "spread now by " + adminAddress
+                                        : "not spread by " + adminAddress +
+                                              ": " + takeOutError) +
                   "\n" + (recorded ? record : "recorded not yet\n");
   return result;
 }
