--- a/src/daemon/operator_commands.cpp
+++ b/src/daemon/operator_commands.cpp
@@ -25,14 +25,14 @@
   bool Json = false;
 };
 
-std::string checkLogUrl(const std::string &text) {
+std::string validateLogUrl(const std::string &text) {
   constexpr std::string_view scheme = "http://";
   const bool good = text.rfind(scheme, 0) == 0 &&
                     parseAddress(std::string_view(text).substr(scheme.size()));
   return good ? "" : "expected http://IP:PORT, got '" + text + "'";
 }
 
-std::string checkAdmin(const std::string &text) {
+std::string validateAdminAddress(const std::string &text) {
   return parseAddress(text) ? "" : "expected IP:PORT, got '" + text + "'";
 }
 
@@ -51,44 +51,45 @@
   return id;
 }
 
-std::string checkRecordId(const std::string &text) {
+std::string validateRecordId(const std::string &text) {
   return parseRecordId(text)
              ? ""
              : "expected 32 hexadecimal digits, got '" + text + "'";
 }
 
-CLI::App *command(CLI::App &app, Flags &flags, const char *name,
-                  const char *help) {
+CLI::App *addSubcommand(CLI::App &app, Flags &flags, const char *name,
+                        const char *help) {
   auto *sub = app.add_subcommand(name, help);
   sub->add_flag("--json", flags.Json, "print JSON");
   sub->set_version_flag("--version", std::string(ProgramVersion));
   return sub;
 }
 
-void addLog(CLI::App *sub, Flags &flags) {
+void addLogUrlOption(CLI::App *sub, Flags &flags) {
   sub->add_option("--log-url", flags.LogUrl, "the platform's log")
       ->envname("CHIVEFOLD_LOG_URL")
       ->required()
-      ->check(checkLogUrl)
+      ->check(validateLogUrl)
       ->type_name("http://IP:PORT");
 }
 
-CLI::Option *addAdmin(CLI::App *sub, std::string &to, const char *help) {
+CLI::Option *addAdminOption(CLI::App *sub, std::string &to, const char *help) {
   return sub->add_option("--admin", to, help)
       ->envname("CHIVEFOLD_ADMIN")
-      ->check(checkAdmin)
+      ->check(validateAdminAddress)
       ->type_name("IP:PORT");
 }
 
-void addReport(CLI::App &app, Flags &flags) {
-  auto *sub = command(app, flags, "report",
-                      "show service levels, ended moves and data centres out");
+void addReportCommand(CLI::App &app, Flags &flags) {
+  auto *sub =
+      addSubcommand(app, flags, "report",
+                    "show service levels, ended moves and data centres out");
   sub->add_option("--admin", flags.Admins,
                   "admin address of a daemon; may be repeated")
       ->envname("CHIVEFOLD_ADMIN")
       ->required()
       ->allow_extra_args(false)
-      ->check(checkAdmin)
+      ->check(validateAdminAddress)
       ->type_name("IP:PORT");
   sub->add_flag("--fleet", flags.WholeFleet,
                 "also ask the members that the first daemon lists");
@@ -96,44 +97,46 @@
 }
 
 void addCommands(CLI::App &app, Flags &flags) {
-  auto *check = command(app, flags, "check", "check a configuration text");
+  auto *check =
+      addSubcommand(app, flags, "check", "check a configuration text");
   check->add_option("FILE", flags.File, "the text")->required();
-  auto *diff = command(app, flags, "diff", "show what a text would change");
+  auto *diff =
+      addSubcommand(app, flags, "diff", "show what a text would change");
   diff->add_option("FILE", flags.File, "the text")->required();
-  addLog(diff, flags);
-  auto *apply = command(app, flags, "apply", "put a text in force");
+  addLogUrlOption(diff, flags);
+  auto *apply = addSubcommand(app, flags, "apply", "put a text in force");
   auto *file = apply->add_option("FILE", flags.File, "the text");
   apply->add_option("--base", flags.Base, "version that the text was based on");
   apply
       ->add_option("--resume", flags.Resume,
                    "ask what became of an earlier apply")
-      ->check(checkRecordId)
+      ->check(validateRecordId)
       ->type_name("ID")
       ->excludes(file);
-  addLog(apply, flags);
+  addLogUrlOption(apply, flags);
   for (const auto *name : {"take-out", "put-back"}) {
-    auto *sub = command(app, flags, name,
-                        std::string_view(name) == "take-out"
-                            ? "give a data centre no new work"
-                            : "give a data centre new work again");
+    auto *sub = addSubcommand(app, flags, name,
+                              std::string_view(name) == "take-out"
+                                  ? "give a data centre no new work"
+                                  : "give a data centre new work again");
     sub->add_option("DC", flags.DataCentre, "the data centre")->required();
-    addLog(sub, flags);
+    addLogUrlOption(sub, flags);
     if (std::string_view(name) == "take-out") {
-      addAdmin(sub, flags.Admin, "daemon that spreads it at once");
+      addAdminOption(sub, flags.Admin, "daemon that spreads it at once");
     }
   }
   const std::pair<const char *, const char *> views[] = {
       {"status", "show a daemon's view of the fleet"},
       {"moves", "show moves and how they ended"}};
   for (const auto &it : views) {
-    addAdmin(command(app, flags, it.first, it.second), flags.Admin,
-             "admin address of a daemon")
+    addAdminOption(addSubcommand(app, flags, it.first, it.second), flags.Admin,
+                   "admin address of a daemon")
         ->required();
   }
-  addReport(app, flags);
+  addReportCommand(app, flags);
 }
 
-OperatorResult badInput(const std::string &message) {
+OperatorResult invalidInput(const std::string &message) {
   return {OperatorExitCode::BadInput, "", message};
 }
 
@@ -151,11 +154,11 @@
     return resumeApply(*parseRecordId(flags.Resume), context, options);
   }
   if (flags.File.empty()) {
-    return badInput("apply: expected FILE or --resume ID");
+    return invalidInput("apply: expected FILE or --resume ID");
   }
   const auto text = readFile(flags.File);
   if (!text) {
-    return badInput("cannot read " + flags.File);
+    return invalidInput("cannot read " + flags.File);
   }
   const auto &name = sub.get_name();
   auto result = name == "check" ? checkConfiguration(*text, context, flags.Json)
@@ -225,7 +228,7 @@
   } catch (const CLI::CallForVersion &) {
     return {OperatorExitCode::Ok, std::string(ProgramVersion) + "\n", ""};
   } catch (const CLI::ParseError &e) {
-    return badInput(e.what());
+    return invalidInput(e.what());
   }
   return runCommand(*app.get_subcommands().front(), flags, context);
 }
