--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 /** @return a value as text; "-" if it is absent or of an unexpected type. */
-std::string field(const json &object, const char *key) {
+std::string fieldText(const json &object, const char *key) {
   const auto it = object.is_object() ? object.find(key) : object.end();
   if (!object.is_object() || it == object.end()) {
     return "-";
@@ -23,14 +23,15 @@
              : "-";
 }
 
-std::string table(const json &state, const char *list, const TextRow &keys) {
+std::string listTable(const json &state, const char *list,
+                      const TextRow &keys) {
   std::vector<TextRow> rows = {keys};
   const auto it = state.is_object() ? state.find(list) : state.end();
   if (state.is_object() && it != state.end() && it->is_array()) {
     for (const auto &item : *it) {
       TextRow row;
       for (const auto &key : keys) {
-        row.push_back(field(item, key.c_str()));
+        row.push_back(fieldText(item, key.c_str()));
       }
       rows.push_back(std::move(row));
     }
@@ -38,22 +39,22 @@
   return rows.size() == 1 ? std::string(list) + ": none\n" : aligned(rows);
 }
 
-std::string status(const json &state) {
+std::string statusText(const json &state) {
   std::vector<TextRow> rows;
   for (const auto *key :
        {"service", "data_centre", "ready", "reason", "version", "applied"}) {
-    rows.push_back({key, field(state, key)});
+    rows.push_back({key, fieldText(state, key)});
   }
   return aligned(rows) + "\n" +
-         table(state, "data_centres", {"name", "taken_out"}) + "\n" +
-         table(state, "members",
-               {"address", "data_centre", "service", "version", "state"});
+         listTable(state, "data_centres", {"name", "taken_out"}) + "\n" +
+         listTable(state, "members",
+                   {"address", "data_centre", "service", "version", "state"});
 }
 
-std::string moves(const json &state) {
-  return table(state, "moves",
-               {"service", "from", "to", "deadline", "share_basis_points",
-                "state", "reason", "evidence"});
+std::string movesTable(const json &state) {
+  return listTable(state, "moves",
+                   {"service", "from", "to", "deadline", "share_basis_points",
+                    "state", "reason", "evidence"});
 }
 
 } // namespace
@@ -77,7 +78,8 @@
     return {OperatorExitCode::Ok, response->Body, ""};
   }
   return {OperatorExitCode::Ok,
-          view == OperatorView::Status ? status(value) : moves(value), ""};
+          view == OperatorView::Status ? statusText(value) : movesTable(value),
+          ""};
 }
 
 } // namespace chivefold
