--- a/include/chivefold/daemon/fleet_report.h
+++ b/include/chivefold/daemon/fleet_report.h
@@ -26,15 +26,15 @@
   std::uint64_t Good = 0;
   std::uint64_t WorthOffered = 0;
   std::uint64_t WorthServed = 0;
-  WindowCounts Short;
-  WindowCounts Long;
+  WindowCounts Last5Minutes;
+  WindowCounts LastHour;
   /** Calls by upper bound of their latency in milliseconds. */
   std::map<double, std::uint64_t> Latency;
 
   WindowCounts total() const;
   /** @return rate of bad calls, divided by the rate that the objective allows;
    * 0 without calls. */
-  double burn(const WindowCounts &counts) const;
+  double burnRate(const WindowCounts &counts) const;
   /** @return upper bound of the bucket that holds quantile @p q, in
    * milliseconds; 0 without calls. At most 26% above the exact value for
    * latencies of at least 0.125 ms. */
--- a/src/daemon/fleet_report.cpp
+++ b/src/daemon/fleet_report.cpp
@@ -12,73 +12,73 @@
 using Limits = FleetReportLimits;
 
 /** An answer that is not as expected; does not leave this file. */
-struct FaultyAnswer : std::runtime_error {
+struct InvalidResponse : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-const json &member(const json &object, const char *key) {
+const json &requiredField(const json &object, const char *key) {
   const auto it = object.find(key);
   if (!object.is_object() || it == object.end()) {
-    throw FaultyAnswer(std::string("no field ") + key);
+    throw InvalidResponse(std::string("no field ") + key);
   }
   return *it;
 }
 
-std::uint64_t count(const json &value, const char *key) {
+std::uint64_t toCount(const json &value, const char *key) {
   if (!value.is_number_unsigned()) {
-    throw FaultyAnswer(std::string("no count in ") + key);
+    throw InvalidResponse(std::string("no count in ") + key);
   }
   return value.get<std::uint64_t>();
 }
 
-std::uint64_t countOf(const json &object, const char *key) {
-  return count(member(object, key), key);
+std::uint64_t countField(const json &object, const char *key) {
+  return toCount(requiredField(object, key), key);
 }
 
-std::string textOf(const json &object, const char *key) {
-  const auto &value = member(object, key);
+std::string stringField(const json &object, const char *key) {
+  const auto &value = requiredField(object, key);
   if (!value.is_string()) {
-    throw FaultyAnswer(std::string("no text in ") + key);
+    throw InvalidResponse(std::string("no text in ") + key);
   }
   return value.get<std::string>();
 }
 
-const json &listOf(const json &object, const char *key) {
-  const auto &value = member(object, key);
+const json &arrayField(const json &object, const char *key) {
+  const auto &value = requiredField(object, key);
   if (!value.is_array()) {
-    throw FaultyAnswer(std::string("no list in ") + key);
+    throw InvalidResponse(std::string("no list in ") + key);
   }
   return value;
 }
 
-WindowCounts windowOf(const json &item, const char *calls, const char *bad) {
-  return {countOf(item, calls), countOf(item, bad)};
+WindowCounts windowField(const json &item, const char *calls, const char *bad) {
+  return {countField(item, calls), countField(item, bad)};
 }
 
-FleetSeries seriesOf(const json &item) {
+FleetSeries parseSeries(const json &item) {
   FleetSeries s;
-  const auto &objective = member(item, "objective");
+  const auto &objective = requiredField(item, "objective");
   s.Objective = objective.is_number() ? objective.get<double>() : 0;
   if (!(s.Objective > 0 && s.Objective < 1)) {
-    throw FaultyAnswer("objective outside of 0 to 1");
+    throw InvalidResponse("objective outside of 0 to 1");
   }
-  s.Answered = countOf(item, "answered");
-  s.NotRun = countOf(item, "not_run");
-  s.Unknown = countOf(item, "unknown");
-  s.Good = countOf(item, "good");
-  s.WorthOffered = countOf(item, "worth_offered");
-  s.WorthServed = countOf(item, "worth_served");
-  s.Short = windowOf(item, "calls_5m", "bad_5m");
-  s.Long = windowOf(item, "calls_1h", "bad_1h");
-  const auto &buckets = listOf(item, "latency_buckets");
+  s.Answered = countField(item, "answered");
+  s.NotRun = countField(item, "not_run");
+  s.Unknown = countField(item, "unknown");
+  s.Good = countField(item, "good");
+  s.WorthOffered = countField(item, "worth_offered");
+  s.WorthServed = countField(item, "worth_served");
+  s.Last5Minutes = windowField(item, "calls_5m", "bad_5m");
+  s.LastHour = windowField(item, "calls_1h", "bad_1h");
+  const auto &buckets = arrayField(item, "latency_buckets");
   if (buckets.size() > Limits::MaxBuckets) {
-    throw FaultyAnswer("too many latency buckets");
+    throw InvalidResponse("too many latency buckets");
   }
   for (const auto &it : buckets) {
     if (!it.is_array() || it.size() != 2 || !it[0].is_number()) {
-      throw FaultyAnswer("no pair in latency_buckets");
+      throw InvalidResponse("no pair in latency_buckets");
     }
-    s.Latency[it[0].get<double>()] += count(it[1], "latency_buckets");
+    s.Latency[it[0].get<double>()] += toCount(it[1], "latency_buckets");
   }
   return s;
 }
@@ -96,8 +96,8 @@
   to.Good += from.Good;
   to.WorthOffered += from.WorthOffered;
   to.WorthServed += from.WorthServed;
-  add(to.Short, from.Short);
-  add(to.Long, from.Long);
+  add(to.Last5Minutes, from.Last5Minutes);
+  add(to.LastHour, from.LastHour);
   for (const auto &it : from.Latency) {
     to.Latency[it.first] += it.second;
   }
@@ -111,19 +111,19 @@
 }
 
 /** Asks daemons and adds up their answers. */
-class Collector {
+class ReportCollector {
 public:
-  explicit Collector(OperatorContext &context)
+  explicit ReportCollector(OperatorContext &context)
       : Context(context), Started(context.Now()) {}
 
   FleetReport run(const std::vector<Address> &admins, bool wholeFleet) {
     for (const auto &it : admins) {
-      askReport(it);
+      fetchReport(it);
     }
     for (const auto &it : admins) {
-      Out.StateKnown = Out.StateKnown || askState(it, wholeFleet);
+      Report.StateKnown = Report.StateKnown || fetchState(it, wholeFleet);
     }
-    return std::move(Out);
+    return std::move(Report);
   }
 
 private:
@@ -131,89 +131,92 @@
     const auto url = "http://" + toString(admin) + path;
     const auto response = Context.Http.request("GET", url, "");
     if (!response) {
-      throw FaultyAnswer(response.reason().Message);
+      throw InvalidResponse(response.reason().Message);
     }
     if (response->Status != 200) {
-      throw FaultyAnswer("status " + std::to_string(response->Status));
+      throw InvalidResponse("status " + std::to_string(response->Status));
     }
     auto value = json::parse(response->Body, nullptr, false);
     if (value.is_discarded()) {
-      throw FaultyAnswer("the answer is not JSON");
+      throw InvalidResponse("the answer is not JSON");
     }
     return value;
   }
 
-  void askReport(const Address &admin) {
-    if (!Asked.insert(admin).second) {
+  void fetchReport(const Address &admin) {
+    if (!Queried.insert(admin).second) {
       return;
     }
-    if (Asked.size() > Limits::MaxDaemons ||
+    if (Queried.size() > Limits::MaxDaemons ||
         Context.Now() - Started > Limits::MaxTime) {
-      ++Out.NotAsked;
+      ++Report.NotAsked;
       return;
     }
     try {
       // Nothing is added before the whole answer is known to be good.
       std::map<std::pair<std::string, std::string>, FleetSeries> all;
       const auto answer = get(admin, "/-/report");
-      for (const auto &it : listOf(answer, "series")) {
-        add(all[{textOf(it, "service"), textOf(it, "kind")}], seriesOf(it));
+      for (const auto &it : arrayField(answer, "series")) {
+        add(all[{stringField(it, "service"), stringField(it, "kind")}],
+            parseSeries(it));
       }
       for (const auto &it : all) {
         addSeries(it.first, it.second);
       }
-      ++Out.Answered;
-    } catch (const FaultyAnswer &e) {
-      Out.Failed.emplace_back(toString(admin), e.what());
+      ++Report.Answered;
+    } catch (const InvalidResponse &e) {
+      Report.Failed.emplace_back(toString(admin), e.what());
     }
   }
 
   void addSeries(const std::pair<std::string, std::string> &key,
                  const FleetSeries &series) {
-    if (Out.Series.size() >= Limits::MaxSeries && Out.Series.count(key) == 0) {
-      ++Out.SeriesLeftOut;
+    if (Report.Series.size() >= Limits::MaxSeries &&
+        Report.Series.count(key) == 0) {
+      ++Report.SeriesLeftOut;
       return;
     }
-    add(Out.Series[key], series);
+    add(Report.Series[key], series);
   }
 
-  bool askState(const Address &admin, bool wholeFleet) {
+  bool fetchState(const Address &admin, bool wholeFleet) {
     try {
       const auto state = get(admin, "/-/state");
-      auto moves = movesOf(state);
-      auto out = outOf(state);
-      const auto &members = listOf(state, "members");
-      Out.Moves = std::move(moves);
-      Out.DataCentresOut = std::move(out);
+      auto moves = parseEndedMoves(state);
+      auto out = parseDataCentresOut(state);
+      const auto &members = arrayField(state, "members");
+      Report.Moves = std::move(moves);
+      Report.DataCentresOut = std::move(out);
       for (const auto &it : members) {
         if (wholeFleet) {
-          askMember(it);
+          fetchMemberReport(it);
         }
       }
       return true;
-    } catch (const FaultyAnswer &) {
+    } catch (const InvalidResponse &) {
       return false;
     }
   }
 
-  static std::vector<EndedMove> movesOf(const json &state) {
+  static std::vector<EndedMove> parseEndedMoves(const json &state) {
     std::vector<EndedMove> moves;
-    for (const auto &it : listOf(state, "moves")) {
-      if (textOf(it, "state") != "running") {
-        moves.push_back({textOf(it, "service"), textOf(it, "from"),
-                         textOf(it, "to"), textOf(it, "state"),
-                         textOf(it, "reason"), textOf(it, "evidence"),
-                         countOf(it, "ended_at"), textOf(it, "ended_utc")});
+    for (const auto &it : arrayField(state, "moves")) {
+      if (stringField(it, "state") != "running") {
+        moves.push_back({stringField(it, "service"), stringField(it, "from"),
+                         stringField(it, "to"), stringField(it, "state"),
+                         stringField(it, "reason"), stringField(it, "evidence"),
+                         countField(it, "ended_at"),
+                         stringField(it, "ended_utc")});
       }
     }
     return moves;
   }
 
-  static std::vector<std::string> outOf(const json &state) {
+  static std::vector<std::string> parseDataCentresOut(const json &state) {
     std::vector<std::string> out;
-    for (const auto &it : listOf(state, "data_centres")) {
-      if (member(it, "taken_out") == true) {
-        out.push_back(textOf(it, "name"));
+    for (const auto &it : arrayField(state, "data_centres")) {
+      if (requiredField(it, "taken_out") == true) {
+        out.push_back(stringField(it, "name"));
       }
     }
     return out;
@@ -221,34 +224,34 @@
 
   /** Members that left are no longer part of the fleet; unreachable ones are
    * counted without waiting for their time-outs. */
-  void askMember(const json &item) {
+  void fetchMemberReport(const json &item) {
     std::string name = "a member";
     try {
-      name = textOf(item, "address");
-      const auto state = textOf(item, "state");
+      name = stringField(item, "address");
+      const auto state = stringField(item, "state");
       if (state == "left") {
         return;
       }
       auto address = parseAddress(name);
-      const auto port = countOf(item, "admin_port");
+      const auto port = countField(item, "admin_port");
       if (!address || port == 0 || port > UINT16_MAX) {
-        throw FaultyAnswer("its admin address is not known");
+        throw InvalidResponse("its admin address is not known");
       }
       address->Port = static_cast<std::uint16_t>(port);
       if (state != "unreachable") {
-        askReport(*address);
-      } else if (Asked.insert(*address).second) {
-        Out.Failed.emplace_back(name, "unreachable, not asked");
+        fetchReport(*address);
+      } else if (Queried.insert(*address).second) {
+        Report.Failed.emplace_back(name, "unreachable, not asked");
       }
-    } catch (const FaultyAnswer &e) {
-      Out.Failed.emplace_back(name, e.what());
+    } catch (const InvalidResponse &e) {
+      Report.Failed.emplace_back(name, e.what());
     }
   }
 
   OperatorContext &Context;
   UtcTime Started;
-  std::set<Address> Asked;
-  FleetReport Out;
+  std::set<Address> Queried;
+  FleetReport Report;
 };
 
 } // namespace
@@ -258,7 +261,7 @@
   return {calls, calls - std::min(calls, Good)};
 }
 
-double FleetSeries::burn(const WindowCounts &counts) const {
+double FleetSeries::burnRate(const WindowCounts &counts) const {
   return counts.Calls == 0
              ? 0
              : static_cast<double>(counts.Bad) /
@@ -283,7 +286,7 @@
 Result<FleetReport> collectReport(OperatorContext &context,
                                   const std::vector<Address> &admins,
                                   bool wholeFleet) {
-  auto report = Collector(context).run(admins, wholeFleet);
+  auto report = ReportCollector(context).run(admins, wholeFleet);
   if (report.Answered == 0) {
     return Reason{
         ErrorCode::ConnectionFailed,
--- a/src/daemon/fleet_report_html.cpp
+++ b/src/daemon/fleet_report_html.cpp
@@ -60,13 +60,13 @@
 }
 
 /** @return a bar for a burn rate; above 1 the budget does not last. */
-std::string bar(double burn) {
+std::string bar(double burnRate) {
   constexpr double full = 120;
-  const auto width = full * std::min(burn, FullBarBurn) / FullBarBurn;
+  const auto width = full * std::min(burnRate, FullBarBurn) / FullBarBurn;
   return "<svg width=\"120\" height=\"10\" role=\"img\"><rect width=\"120\" "
          "height=\"10\" fill=\"#eee\"/><rect width=\"" +
          shortNumber(width) + "\" height=\"10\" fill=\"" +
-         (burn > 1 ? "#c33" : "#393") + "\"/></svg>";
+         (burnRate > 1 ? "#c33" : "#393") + "\"/></svg>";
 }
 
 std::string seriesTable(const FleetReport &report) {
@@ -78,7 +78,7 @@
   std::size_t n = 1;
   for (const auto &it : report.Series) {
     out += "<tr>" + cells(rows[n++], "td") + "<td>" +
-           bar(it.second.burn(it.second.Long)) + "</td></tr>\n";
+           bar(it.second.burnRate(it.second.LastHour)) + "</td></tr>\n";
   }
   return out + "</table>\n";
 }
