--- a/src/daemon/fleet_report_html.cpp
+++ b/src/daemon/fleet_report_html.cpp
@@ -9,9 +9,9 @@
 
 /** Burn rates from this on fill the whole bar: at 14.4 an hour spends 2% of a
  * budget of 30 days, a usual bound for paging somebody. */
-constexpr double FullBarBurn = 14.4;
+constexpr double FullScaleBurnRate = 14.4;
 
-constexpr const char *Head = R"(<!DOCTYPE html>
+constexpr const char *PageHeader = R"(<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>chivefold report</title>
 <style>
 body { font-family: sans-serif; margin: 2em; color: #222; }
@@ -25,7 +25,7 @@
 )";
 
 /** Escapes for element content and for quoted attributes. */
-std::string escaped(const std::string &text) {
+std::string escapeHtml(const std::string &text) {
   std::string out;
   for (const char c : text) {
     switch (c) {
@@ -51,43 +51,45 @@
   return out;
 }
 
-std::string cells(const TextRow &row, const char *tag) {
+std::string tableCells(const TextRow &row, const char *tag) {
   std::string out;
   for (const auto &it : row) {
-    out += std::string("<") + tag + ">" + escaped(it) + "</" + tag + ">";
+    out += std::string("<") + tag + ">" + escapeHtml(it) + "</" + tag + ">";
   }
   return out;
 }
 
 /** @return a bar for a burn rate; above 1 the budget does not last. */
-std::string bar(double burnRate) {
+std::string burnRateBar(double burnRate) {
   constexpr double full = 120;
-  const auto width = full * std::min(burnRate, FullBarBurn) / FullBarBurn;
+  const auto width =
+      full * std::min(burnRate, FullScaleBurnRate) / FullScaleBurnRate;
   return "<svg width=\"120\" height=\"10\" role=\"img\"><rect width=\"120\" "
          "height=\"10\" fill=\"#eee\"/><rect width=\"" +
-         shortNumber(width) + "\" height=\"10\" fill=\"" +
+         formatNumber(width) + "\" height=\"10\" fill=\"" +
          (burnRate > 1 ? "#c33" : "#393") + "\"/></svg>";
 }
 
 std::string seriesTable(const FleetReport &report) {
-  const auto rows = reportRows(report);
-  std::string out = "<table>\n<tr>" + cells(rows.front(), "th") +
-                    "<th>burn 1 h, full bar " + shortNumber(FullBarBurn) +
-                    "</th></tr>\n";
-  // reportRows() has its rows in the order of the series.
+  const auto rows = seriesRows(report);
+  std::string out = "<table>\n<tr>" + tableCells(rows.front(), "th") +
+                    "<th>burn 1 h, full bar " +
+                    formatNumber(FullScaleBurnRate) + "</th></tr>\n";
+  // seriesRows() has its rows in the order of the series.
   std::size_t n = 1;
   for (const auto &it : report.Series) {
-    out += "<tr>" + cells(rows[n++], "td") + "<td>" +
-           bar(it.second.burnRate(it.second.LastHour)) + "</td></tr>\n";
+    out += "<tr>" + tableCells(rows[n++], "td") + "<td>" +
+           burnRateBar(it.second.burnRate(it.second.LastHour)) + "</td></tr>\n";
   }
   return out + "</table>\n";
 }
 
 std::string moveTable(const FleetReport &report) {
   const auto rows = moveRows(report);
-  std::string out = "<table>\n<tr>" + cells(rows.front(), "th") + "</tr>\n";
+  std::string out =
+      "<table>\n<tr>" + tableCells(rows.front(), "th") + "</tr>\n";
   for (std::size_t n = 1; n < rows.size(); ++n) {
-    out += "<tr>" + cells(rows[n], "td") + "</tr>\n";
+    out += "<tr>" + tableCells(rows[n], "td") + "</tr>\n";
   }
   return out + "</table>\n";
 }
@@ -100,7 +102,7 @@
   std::string out = "<h2>Moves that ended</h2>\n" + moveTable(report) +
                     "<h2>Data centres out</h2>\n<ul>\n";
   for (const auto &it : report.DataCentresOut) {
-    out += "<li>" + escaped(it) + "</li>\n";
+    out += "<li>" + escapeHtml(it) + "</li>\n";
   }
   return out + (report.DataCentresOut.empty() ? "<li>none</li>\n" : "") +
          "</ul>\n";
@@ -109,12 +111,12 @@
 } // namespace
 
 std::string reportHtml(const FleetReport &report, UtcTime now) {
-  std::string out = Head;
-  out += "<p>As of " + escaped(toString(now)) + "</p>\n";
-  const bool whole = report.Failed.empty() && report.NotAsked == 0;
+  std::string out = PageHeader;
+  out += "<p>As of " + escapeHtml(toString(now)) + "</p>\n";
+  const bool complete = report.Failed.empty() && report.NotAsked == 0;
   for (const auto &it : coverageLines(report)) {
-    out += std::string(whole ? "<p>" : "<p class=\"missing\">") + escaped(it) +
-           "</p>\n";
+    out += std::string(complete ? "<p>" : "<p class=\"missing\">") +
+           escapeHtml(it) + "</p>\n";
   }
   out += "<h2>Service levels</h2>\n" + seriesTable(report);
   return out + stateSections(report) + "</body></html>\n";
--- a/src/daemon/fleet_report_text.cpp
+++ b/src/daemon/fleet_report_text.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr const char *StateUnknown =
+constexpr const char *StateUnknownLine =
     "moves and data centres: not known, no daemon gave its state\n";
 
 json seriesJson(const std::pair<std::string, std::string> &key,
@@ -28,27 +28,28 @@
           {"worth_served", s.WorthServed},
           {"worth_offered", s.WorthOffered},
           {"latency_ms_median", s.latencyMs(MedianQuantile)},
-          {"latency_ms_99th", s.latencyMs(TailQuantile)}};
+          {"latency_ms_99th", s.latencyMs(P99Quantile)}};
 }
 
 } // namespace
 
-std::vector<TextRow> reportRows(const FleetReport &report) {
+std::vector<TextRow> seriesRows(const FleetReport &report) {
   std::vector<TextRow> rows = {{"service", "kind", "objective", "answered",
                                 "not-run", "unknown", "budget spent",
                                 "burn 5 min", "burn 1 h", "worth served",
                                 "median ms", "99th ms"}};
   for (const auto &it : report.Series) {
     const auto &s = it.second;
-    rows.push_back({it.first.first, it.first.second, shortNumber(s.Objective),
+    rows.push_back({it.first.first, it.first.second, formatNumber(s.Objective),
                     std::to_string(s.Answered), std::to_string(s.NotRun),
-                    std::to_string(s.Unknown), percent(s.burnRate(s.total())),
-                    burnText(s.burnRate(s.Last5Minutes)),
-                    burnText(s.burnRate(s.LastHour)),
+                    std::to_string(s.Unknown),
+                    formatPercent(s.burnRate(s.total())),
+                    formatBurnRate(s.burnRate(s.Last5Minutes)),
+                    formatBurnRate(s.burnRate(s.LastHour)),
                     std::to_string(s.WorthServed) + " of " +
                         std::to_string(s.WorthOffered),
-                    millis(s.latencyMs(MedianQuantile)),
-                    millis(s.latencyMs(TailQuantile))});
+                    formatMilliseconds(s.latencyMs(MedianQuantile)),
+                    formatMilliseconds(s.latencyMs(P99Quantile))});
   }
   return rows;
 }
@@ -56,12 +57,14 @@
 std::vector<TextRow> moveRows(const FleetReport &report) {
   std::vector<TextRow> rows = {
       {"service", "from", "to", "result", "ended", "reason", "evidence"}};
-  const auto orDash = [](const std::string &s) { return s.empty() ? "-" : s; };
+  const auto dashIfEmpty = [](const std::string &s) {
+    return s.empty() ? "-" : s;
+  };
   for (const auto &it : report.Moves) {
     rows.push_back({it.Service, it.From, it.To, it.Result,
                     it.EndUtc.empty() ? "offset " + std::to_string(it.EndOffset)
                                       : it.EndUtc,
-                    orDash(it.Reason), orDash(it.Evidence)});
+                    dashIfEmpty(it.Reason), dashIfEmpty(it.Evidence)});
   }
   return rows;
 }
@@ -88,9 +91,9 @@
     text += it + "\n";
   }
   text += "\n" + (report.Series.empty() ? "calls: none\n"
-                                        : aligned(reportRows(report)));
+                                        : aligned(seriesRows(report)));
   if (!report.StateKnown) {
-    return text + "\n" + StateUnknown;
+    return text + "\n" + StateUnknownLine;
   }
   text += "\n" + (report.Moves.empty() ? "ended moves: none\n"
                                        : aligned(moveRows(report)));
