--- a/include/chivefold/daemon/text_table.h
+++ b/include/chivefold/daemon/text_table.h
@@ -13,7 +13,7 @@
 using TextRow = std::vector<std::string>;
 
 /** @return the rows with columns padded to the widest cell. Thread-safe. */
-std::string aligned(const std::vector<TextRow> &rows);
+std::string formatTable(const std::vector<TextRow> &rows);
 
 } // namespace chivefold
 
--- a/src/daemon/fleet_report_text.cpp
+++ b/src/daemon/fleet_report_text.cpp
@@ -91,12 +91,12 @@
     text += it + "\n";
   }
   text += "\n" + (report.Series.empty() ? "calls: none\n"
-                                        : aligned(seriesRows(report)));
+                                        : formatTable(seriesRows(report)));
   if (!report.StateKnown) {
     return text + "\n" + StateUnknownLine;
   }
   text += "\n" + (report.Moves.empty() ? "ended moves: none\n"
-                                       : aligned(moveRows(report)));
+                                       : formatTable(moveRows(report)));
   text += "\ndata centres out:";
   for (const auto &it : report.DataCentresOut) {
     text += " " + it;
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -36,7 +36,7 @@
       rows.push_back(std::move(row));
     }
   }
-  return rows.size() == 1 ? std::string(list) + ": none\n" : aligned(rows);
+  return rows.size() == 1 ? std::string(list) + ": none\n" : formatTable(rows);
 }
 
 std::string statusText(const json &state) {
@@ -45,7 +45,7 @@
        {"service", "data_centre", "ready", "reason", "version", "applied"}) {
     rows.push_back({key, fieldText(state, key)});
   }
-  return aligned(rows) + "\n" +
+  return formatTable(rows) + "\n" +
          listTable(state, "data_centres", {"name", "taken_out"}) + "\n" +
          listTable(state, "members",
                    {"address", "data_centre", "service", "version", "state"});
--- a/src/daemon/text_table.cpp
+++ b/src/daemon/text_table.cpp
@@ -7,7 +7,7 @@
 
 /** @return @p cell without control characters. Names may come from requests,
  * and must neither break lines nor control the operator's terminal. */
-std::string printable(std::string cell) {
+std::string replaceControlCharacters(std::string cell) {
   std::replace_if(
       cell.begin(), cell.end(),
       [](unsigned char c) { return c < ' ' || c == 0x7F; }, '?');
@@ -16,7 +16,7 @@
 
 } // namespace
 
-std::string aligned(const std::vector<TextRow> &rows) {
+std::string formatTable(const std::vector<TextRow> &rows) {
   std::vector<std::size_t> widths;
   for (const auto &row : rows) {
     widths.resize(std::max(widths.size(), row.size()));
@@ -27,7 +27,7 @@
   std::string text;
   for (const auto &row : rows) {
     for (std::size_t n = 0; n < row.size(); ++n) {
-      text += printable(row[n]);
+      text += replaceControlCharacters(row[n]);
       if (n + 1 < row.size()) {
         text.append(widths[n] - row[n].size() + 2, ' ');
       }
