--- a/tests/unit/fleet_report_test.cpp
+++ b/tests/unit/fleet_report_test.cpp
@@ -31,7 +31,7 @@
 };
 
 /** A real daemon's report: @p good calls of 1 ms and @p bad ones of 100 ms. */
-std::string reportOf(int good, int bad, const std::string &kind = "book") {
+std::string daemonReport(int good, int bad, const std::string &kind = "book") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", kind, 0.9);
   for (int n = 0; n < good + bad; ++n) {
@@ -54,8 +54,8 @@
                           [](std::chrono::milliseconds) {}, "asha"};
 
   Fixture() {
-    Daemons.Bodies["127.0.0.1:1/-/report"] = reportOf(90, 10);
-    Daemons.Bodies["127.0.0.1:2/-/report"] = reportOf(270, 30);
+    Daemons.Bodies["127.0.0.1:1/-/report"] = daemonReport(90, 10);
+    Daemons.Bodies["127.0.0.1:2/-/report"] = daemonReport(270, 30);
     json state = {{"members",
                    {member("127.0.0.1:91", 1, "alive"),
                     member("127.0.0.1:92", 2, "alive"),
@@ -117,7 +117,7 @@
 // page that runs what a name contains.
 TEST_CASE("report prints text and an escaped page", "[report]") {
   Fixture f;
-  f.Daemons.Bodies["127.0.0.1:2/-/report"] = reportOf(1, 0, "<script>\n'");
+  f.Daemons.Bodies["127.0.0.1:2/-/report"] = daemonReport(1, 0, "<script>\n'");
   const std::string path = "fleet_report_test.html";
   const auto result =
       f.run({"report", "--admin", "127.0.0.1:1", "--admin", "127.0.0.1:2",
@@ -141,7 +141,7 @@
 
 // Guards against a faulty answer that is added in part or taken as no calls.
 TEST_CASE("faulty answers are counted as failed", "[report]") {
-  const std::string good = reportOf(90, 10);
+  const std::string good = daemonReport(90, 10);
   auto negative = json::parse(good);
   negative["series"].push_back(negative["series"][0]);
   negative["series"][1]["answered"] = -1;
--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-enum class Fault { None, AnswerLost, RequestLost, Down };
+enum class AppendFault { None, ResponseLost, RequestLost, Down };
 
 /** A log in memory; each append takes the next fault. */
 class FakeLog : public BlockingHttpClient {
 public:
   std::vector<std::string> Records;
-  std::deque<Fault> Faults;
+  std::deque<AppendFault> Faults;
   /** Appended by a rival just before the next append. */
-  std::string Rival;
+  std::string CompetingRecord;
   bool Down = false;
   /** Requests to a daemon, and its answer to them. */
-  std::vector<std::string> Puts;
+  std::vector<std::string> PutUrls;
   int PutStatus = 200;
 
   Result<BlockingHttpResponse> request(const std::string &method,
                                        const std::string &url,
                                        const std::string &body) override {
     if (method == "PUT") {
-      Puts.push_back(url);
+      PutUrls.push_back(url);
       return BlockingHttpResponse{PutStatus, "", {}, {}};
     }
     if (Down) {
@@ -36,18 +36,18 @@
 
 private:
   Result<BlockingHttpResponse> append(const std::string &body) {
-    const auto fault = Faults.empty() ? Fault::None : Faults.front();
+    const auto fault = Faults.empty() ? AppendFault::None : Faults.front();
     if (!Faults.empty()) {
       Faults.pop_front();
     }
-    if (!Rival.empty()) {
-      Records.push_back(std::exchange(Rival, ""));
+    if (!CompetingRecord.empty()) {
+      Records.push_back(std::exchange(CompetingRecord, ""));
     }
-    Down = fault == Fault::Down;
-    if (fault != Fault::RequestLost && fault != Fault::Down) {
+    Down = fault == AppendFault::Down;
+    if (fault != AppendFault::RequestLost && fault != AppendFault::Down) {
       Records.push_back(body);
     }
-    if (fault != Fault::None) {
+    if (fault != AppendFault::None) {
       return Reason{ErrorCode::ConnectionFailed, "timed out"};
     }
     return BlockingHttpResponse{200, std::to_string(Records.size()), {}, {}};
@@ -85,11 +85,11 @@
   }
 };
 
-std::string textWith(const char *centres) {
+std::string configurationWith(const char *centres) {
   return std::string("[fleet]\ndata_centres = ") + centres + "\n";
 }
 
-std::string rivalChange(Version base) {
+std::string competingChange(Version base) {
   Section s;
   s.FleetSettings = Fleet{{"z"}, {}};
   return encodeRecord({RecordId{{99}}, "bilal", ChangeRecord{base, {s}}});
@@ -104,8 +104,8 @@
   CHECK(bad.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(bad.Error, Catch::StartsWith("line 1, column 1: "));
   CHECK(f.Log.Records.empty());
-  CHECK(f.apply(textWith("['a']")).Output == "accepted at offset 1\n");
-  const auto same = f.apply(textWith("['a']"));
+  CHECK(f.apply(configurationWith("['a']")).Output == "accepted at offset 1\n");
+  const auto same = f.apply(configurationWith("['a']"));
   CHECK(same.Exit == OperatorExitCode::Ok);
   CHECK_THAT(same.Output, Catch::Contains("nothing was appended"));
   CHECK(f.Log.Records.size() == 1);
@@ -114,12 +114,12 @@
 // Guards against a lost race that is reported as accepted.
 TEST_CASE("apply reports a lost race", "[operator]") {
   Fixture f;
-  f.Log.Rival = rivalChange(Version::None);
-  const auto lost = f.apply(textWith("['a']"));
+  f.Log.CompetingRecord = competingChange(Version::None);
+  const auto lost = f.apply(configurationWith("['a']"));
   CHECK(lost.Exit == OperatorExitCode::Refused);
   CHECK(lost.Error == "refused, not in force: lost race to offset 1 by bilal");
   // A stale base loses even when nothing races.
-  CHECK(f.apply(textWith("['a']"), Version::None).Exit ==
+  CHECK(f.apply(configurationWith("['a']"), Version::None).Exit ==
         OperatorExitCode::Refused);
 }
 
@@ -127,31 +127,31 @@
 // twice although the record is there.
 TEST_CASE("apply resolves lost answers", "[operator]") {
   Fixture f;
-  f.Log.Faults = {Fault::AnswerLost};
-  CHECK(f.apply(textWith("['a']")).Output == "accepted at offset 1\n");
+  f.Log.Faults = {AppendFault::ResponseLost};
+  CHECK(f.apply(configurationWith("['a']")).Output == "accepted at offset 1\n");
   CHECK(f.Log.Records.size() == 1);
-  f.Log.Faults = {Fault::RequestLost};
-  CHECK(f.apply(textWith("['b']")).Output == "accepted at offset 2\n");
+  f.Log.Faults = {AppendFault::RequestLost};
+  CHECK(f.apply(configurationWith("['b']")).Output == "accepted at offset 2\n");
   CHECK(f.Log.Records.size() == 2);
 }
 
 // Guards against a guess when the log cannot be asked.
 TEST_CASE("apply says unknown while the log is down", "[operator]") {
   Fixture f;
-  f.Log.Faults = {Fault::Down};
-  const auto unknown = f.apply(textWith("['a']"));
+  f.Log.Faults = {AppendFault::Down};
+  const auto unknown = f.apply(configurationWith("['a']"));
   CHECK(unknown.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(
       unknown.Error,
       Catch::Contains("apply --resume 01000000000000000000000000000000"));
   f.Log.Down = true;
-  const auto unread = f.apply(textWith("['a']"));
+  const auto unread = f.apply(configurationWith("['a']"));
   CHECK(unread.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(unread.Error, Catch::Contains("nothing was appended"));
   f.Log.Down = false;
   CHECK(resumeApply(RecordId{{1}}, f.Context, {"http://x", {}, false}).Exit ==
         OperatorExitCode::Unknown);
-  CHECK(f.apply(textWith("['a']")).Exit == OperatorExitCode::Ok);
+  CHECK(f.apply(configurationWith("['a']")).Exit == OperatorExitCode::Ok);
   CHECK(resumeApply(RecordId{{2}}, f.Context, {"http://x", {}, false}).Output ==
         "accepted at offset 1\n");
 }
@@ -179,7 +179,8 @@
 // does not tell what took effect.
 TEST_CASE("take-out says whether it is spread and recorded", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a', 'b']")).Exit == OperatorExitCode::Ok);
+  REQUIRE(f.apply(configurationWith("['a', 'b']")).Exit ==
+          OperatorExitCode::Ok);
   const auto set = [&](bool takenOut, bool json = false) {
     return setDataCentreTakenOut("b", takenOut, f.Context,
                                  {"http://x", Address{"127.0.0.1", 3}, json});
@@ -188,7 +189,7 @@
   const auto outage = set(true);
   CHECK(outage.Exit == OperatorExitCode::Unknown);
   CHECK(outage.Output == "spread now by 127.0.0.1:3\nrecorded not yet\n");
-  CHECK(f.Log.Puts.at(0) == "http://127.0.0.1:3/-/take-out?data_centre=b");
+  CHECK(f.Log.PutUrls.at(0) == "http://127.0.0.1:3/-/take-out?data_centre=b");
   CHECK_THAT(set(true, true).Output,
              Catch::Contains("\"spread\": true") &&
                  Catch::Contains("\"recorded\": false"));
@@ -199,9 +200,9 @@
   CHECK(recorded.Exit == OperatorExitCode::Ok);
   CHECK(recorded.Output ==
         "not spread by 127.0.0.1:3: status 404\nrecorded at offset 2\n");
-  const auto puts = f.Log.Puts.size();
+  const auto puts = f.Log.PutUrls.size();
   CHECK(set(false).Output == "accepted at offset 3\n");
-  CHECK(f.Log.Puts.size() == puts);
+  CHECK(f.Log.PutUrls.size() == puts);
   const auto odd =
       setDataCentreTakenOut("b&x", true, f.Context, {"http://x", {}, true});
   CHECK(odd.Exit == OperatorExitCode::BadInput);
@@ -211,9 +212,10 @@
 // Guards against a diff that appends, or hides a change.
 TEST_CASE("diff shows changes and appends nothing", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a']")).Exit == OperatorExitCode::Ok);
+  REQUIRE(f.apply(configurationWith("['a']")).Exit == OperatorExitCode::Ok);
   const auto diff = [&](const char *centres, bool json) {
-    return diffConfiguration(textWith(centres), f.Context, "http://x", json)
+    return diffConfiguration(configurationWith(centres), f.Context, "http://x",
+                             json)
         .Output;
   };
   CHECK(diff("['a']", false) == "no difference\n");
