--- a/include/chivefold/daemon/command_line.h
+++ b/include/chivefold/daemon/command_line.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * What the command lines of the daemons have in common.
+ * Command-line options and parsing shared by chivefoldd and
+ * chivefold-sidecar.
  */
 #ifndef CHIVEFOLD_DAEMON_COMMAND_LINE_H
 #define CHIVEFOLD_DAEMON_COMMAND_LINE_H
@@ -13,29 +14,35 @@
 
 namespace chivefold {
 
-/** @return "" if @p text is IP:PORT, otherwise what is wrong. Thread-safe. */
+/** CLI11 validator. @return an empty string if @p text is IP:PORT, otherwise an
+ * error message. Thread-safe. */
 std::string validateAddress(const std::string &text);
 
-/** Adds an option that sets @p to, which outlives the parsing. */
+/** Adds an option that parses IP:PORT into @p to. @p to must remain valid until
+ * @p app has parsed the command line. */
 CLI::Option *addAddressOption(CLI::App &app, const std::string &flag,
                               Address &to, const std::string &help);
 
-/** Lets an environment variable, CHIVEFOLD_ and the flag's name, set the
- * option. @return @p option. */
+/** Lets an environment variable set @p option. Its name is CHIVEFOLD_ and the
+ * flag in upper case with underscores: CHIVEFOLD_LOG_URL for --log-url.
+ * @return @p option. */
 CLI::Option *bindEnvironmentVariable(CLI::Option *option);
 
-/** Adds the option for the least level that is logged. */
+/** Adds --log-level, the minimum level to log. @p to holds the default and must
+ * remain valid until @p app has parsed the command line. */
 void addLogLevelOption(CLI::App &app, std::string &to);
 
-/** What a program prints before it exits. */
+/** Output and exit code of a program that ends after parsing its command line:
+ * for --help, --version or an error. */
 struct CommandLineExit {
   std::string Output;
   int Code = 0;
 };
 
-/** Parses the flags and the environment. @param program names the program in
- * an error's line. @return nothing if the program is to run. Not thread-safe,
- * since it reads the environment. */
+/** Parses flags and environment variables into the options of @p app.
+ * @param program prefix of error messages.
+ * @return std::nullopt if the program should run. Not thread-safe, since it
+ * reads the environment. */
 std::optional<CommandLineExit> parseCommandLine(CLI::App &app,
                                                 const std::string &program,
                                                 int argc,
--- a/src/daemon/command_line.cpp
+++ b/src/daemon/command_line.cpp
@@ -37,7 +37,7 @@
 
 void addLogLevelOption(CLI::App &app, std::string &to) {
   bindEnvironmentVariable(
-      app.add_option("--log-level", to, "least level that is logged"))
+      app.add_option("--log-level", to, "minimum level to log"))
       ->check(CLI::IsMember({"trace", "debug", "info", "warn", "error"}))
       ->capture_default_str();
 }
