--- a/include/chivefold/daemon/settings.h
+++ b/include/chivefold/daemon/settings.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Settings of the daemon: flags, each with an environment variable.
+ * Settings of the daemon. Each one is a flag that can also be set by an
+ * environment variable.
  */
 #ifndef CHIVEFOLD_DAEMON_SETTINGS_H
 #define CHIVEFOLD_DAEMON_SETTINGS_H
@@ -14,7 +15,7 @@
 
 namespace chivefold {
 
-/** Everything that a daemon learns from its start. Immutable afterwards. */
+/** Start-up parameters of a daemon. They do not change while it runs. */
 struct Settings {
   Address CallerListen;
   Address PeerListen;
@@ -24,16 +25,18 @@
   std::string Region;
   std::string Service;
   std::string ServiceVersion;
-  /** "http://ip:port" of the platform's log. */
+  /** Base URL of the platform's log, "http://ip:port". */
   std::string LogUrl;
-  /** Daemons to ask for the state at start; may be empty. */
+  /** Peer addresses of daemons to fetch the state from at start; may be
+   * empty. */
   std::vector<Address> Seeds;
   std::string LogLevel = "info";
-  /** Time that a planned stop may take, in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   std::uint32_t DrainMs = 10000;
 };
 
-/** What a command line asks a program to do. */
+/** Result of parsing the command line: the settings, or what to print before
+ * exiting. */
 struct ParsedSettings {
   /** Absent if the program should print Output and exit with ExitCode. */
   std::optional<Settings> Value;
@@ -43,7 +46,7 @@
 
 /**
  * Parses flags and environment variables (CHIVEFOLD_ and the flag's name).
- * Any error gives one line and exit code 2; nothing is applied in part.
+ * Any error yields a message of one line, exit code 2 and no settings.
  * Not thread-safe, since it reads the environment.
  */
 ParsedSettings parseSettings(int argc, const char *const *argv);
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -37,7 +37,7 @@
       ->required();
   bindEnvironmentVariable(
       addAddressOption(app, "--backend-server", s.BackendServer,
-                       "the backend server on this host (HTTP)"))
+                       "address of the backend server on this host (HTTP)"))
       ->required();
 }
 
@@ -57,7 +57,7 @@
 
 void addRuntimeOptions(CLI::App &app, Settings &s) {
   bindEnvironmentVariable(
-      app.add_option("--log-url", s.LogUrl, "the platform's log"))
+      app.add_option("--log-url", s.LogUrl, "base URL of the platform's log"))
       ->required()
       ->check(validateLogUrl)
       ->type_name("http://IP:PORT");
@@ -73,8 +73,9 @@
       ->check(validateAddress)
       ->type_name("IP:PORT,...");
   addLogLevelOption(app, s.LogLevel);
-  bindEnvironmentVariable(app.add_option("--drain-ms", s.DrainMs,
-                                         "time that a planned stop may take"))
+  bindEnvironmentVariable(
+      app.add_option("--drain-ms", s.DrainMs,
+                     "maximum duration of a graceful shutdown"))
       ->check(CLI::Range(0, 600000))
       ->capture_default_str();
 }
