--- a/include/chivefold/daemon/text_table.h
+++ b/include/chivefold/daemon/text_table.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Tables of text with aligned columns.
+ * Formatting of plain-text tables.
  */
 #ifndef CHIVEFOLD_DAEMON_TEXT_TABLE_H
 #define CHIVEFOLD_DAEMON_TEXT_TABLE_H
@@ -12,7 +12,8 @@
 
 using TextRow = std::vector<std::string>;
 
-/** @return the rows with columns padded to the widest cell. Thread-safe. */
+/** @return one line per row, each column padded to its widest cell. Control
+ * characters in cells are replaced by '?'. Thread-safe. */
 std::string formatTable(const std::vector<TextRow> &rows);
 
 } // namespace chivefold
--- a/include/chivefold/daemon/version.h
+++ b/include/chivefold/daemon/version.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Version of the programs.
+ * Name and version that the programs print.
  */
 #ifndef CHIVEFOLD_DAEMON_VERSION_H
 #define CHIVEFOLD_DAEMON_VERSION_H
@@ -9,7 +9,7 @@
 
 namespace chivefold {
 
-/** Printed by --version. */
+/** Output of --version. */
 constexpr std::string_view ProgramVersion = "chivefold 0.1.0";
 
 } // namespace chivefold
--- a/src/daemon/text_table.cpp
+++ b/src/daemon/text_table.cpp
@@ -5,8 +5,9 @@
 namespace chivefold {
 namespace {
 
-/** @return @p cell without control characters. Names may come from requests,
- * and must neither break lines nor control the operator's terminal. */
+/** Replaces control characters by '?'. Cells may hold names taken from
+ * requests, which must not break lines or send escape sequences to the
+ * operator's terminal. */
 std::string replaceControlCharacters(std::string cell) {
   std::replace_if(
       cell.begin(), cell.end(),
