--- a/include/chivefold/daemon/fleet_report.h
+++ b/include/chivefold/daemon/fleet_report.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * The report on service levels, moves and data centres over many daemons.
+ * Report on service levels, moves and data centres, aggregated over the
+ * daemons of a fleet.
  */
 #ifndef CHIVEFOLD_DAEMON_FLEET_REPORT_H
 #define CHIVEFOLD_DAEMON_FLEET_REPORT_H
@@ -16,9 +17,10 @@
 
 namespace chivefold {
 
-/** Figures of one service and kind, added up over the daemons. */
+/** Metrics of one service and kind of call, summed over the daemons. */
 struct FleetSeries {
-  /** The highest that a daemon states; they differ while a change spreads. */
+  /** Highest objective that any daemon reports. Daemons differ while a
+   * configuration change propagates. */
   double Objective = 0;
   std::uint64_t Answered = 0;
   std::uint64_t NotRun = 0;
@@ -28,20 +30,23 @@
   std::uint64_t WorthServed = 0;
   WindowCounts Last5Minutes;
   WindowCounts LastHour;
-  /** Calls by upper bound of their latency in milliseconds. */
+  /** Number of calls per latency bucket, keyed by the bucket's upper bound in
+   * milliseconds. */
   std::map<double, std::uint64_t> Latency;
 
+  /** @return all calls and the bad ones among them, since the daemons
+   * started. */
   WindowCounts total() const;
-  /** @return rate of bad calls, divided by the rate that the objective allows;
-   * 0 without calls. */
+  /** @return the fraction of bad calls divided by the fraction that the
+   * objective allows; 0 without calls. */
   double burnRate(const WindowCounts &counts) const;
-  /** @return upper bound of the bucket that holds quantile @p q, in
-   * milliseconds; 0 without calls. At most 26% above the exact value for
-   * latencies of at least 0.125 ms. */
+  /** @return the upper bound of the bucket that contains quantile @p q, in
+   * milliseconds; 0 without calls. It exceeds the exact value by at most 26%
+   * for latencies of at least 0.125 ms. */
   double latencyMs(double q) const;
 };
 
-/** A move that ended. */
+/** A move of traffic between two versions that has ended. */
 struct EndedMove {
   std::string Service;
   std::string From;
@@ -51,53 +56,58 @@
   std::string Reason;
   std::string Evidence;
   std::uint64_t EndOffset = 0;
-  /** When the daemon asked saw the end; empty if it started later. */
+  /** Time at which the queried daemon saw the end; empty if that daemon started
+   * later. */
   std::string EndUtc;
 };
 
-/** What the daemons asked together report. */
+/** Aggregated result of querying the daemons. */
 struct FleetReport {
-  /** By service and kind. */
+  /** Keyed by service and kind. */
   std::map<std::pair<std::string, std::string>, FleetSeries> Series;
   std::vector<EndedMove> Moves;
   std::vector<std::string> DataCentresOut;
-  /** Whether a daemon gave the moves and data centres. */
+  /** Whether any daemon returned the moves and data centres. */
   bool StateKnown = false;
   std::size_t Answered = 0;
-  /** Address and reason of each daemon without a usable answer. */
+  /** Address and error of each daemon that returned no valid report. */
   std::vector<std::pair<std::string, std::string>> Failed;
-  /** Members that were not asked because of a bound. */
+  /** Daemons that were not queried because of MaxDaemons or MaxTime. */
   std::size_t NotAsked = 0;
-  /** Series left out because of MaxSeries. */
+  /** Series omitted because of MaxSeries. A series that several daemons report
+   * counts once for each of them. */
   std::size_t SeriesLeftOut = 0;
 };
 
-/** Bounds of one report. What exceeds them is counted and printed. */
+/** Limits of one report. Daemons and series beyond a limit are counted, and the
+ * report shows their number. */
 struct FleetReportLimits {
   static constexpr std::size_t MaxDaemons = 256;
   static constexpr std::size_t MaxSeries = 8192;
+  /** Latency buckets of a series. A response with more is invalid. */
   static constexpr std::size_t MaxBuckets = 256;
-  /** No further daemon is asked after this time. */
+  /** No further daemon is queried for its report after this time. */
   static constexpr std::chrono::seconds MaxTime{60};
 };
 
 /**
- * Asks the daemons one after the other.
- * @param wholeFleet also ask the members that the first daemon to answer lists.
- * @return the report, or ConnectionFailed if no daemon gave a usable answer.
+ * Queries the daemons sequentially and aggregates their reports.
+ * @param wholeFleet also query the members listed by the first daemon that
+ * returns its state.
+ * @return the report, or ConnectionFailed if no daemon returned a valid report.
  */
 Result<FleetReport> collectReport(OperatorContext &context,
                                   const std::vector<Address> &admins,
                                   bool wholeFleet);
 
-/** @return the report as aligned text. Thread-safe. */
+/** @return the report as plain-text tables. Thread-safe. */
 std::string reportText(const FleetReport &report);
 
 /** @return the report as one JSON object. Thread-safe. */
 std::string reportJson(const FleetReport &report);
 
-/** @return the report as one HTML page that refers to nothing outside of it.
- * Thread-safe. */
+/** @return the report as a self-contained HTML page. @param now time shown in
+ * the page. Thread-safe. */
 std::string reportHtml(const FleetReport &report, UtcTime now);
 
 } // namespace chivefold
