--- a/src/daemon/fleet_report.cpp
+++ b/src/daemon/fleet_report.cpp
@@ -11,7 +11,8 @@
 using nlohmann::json;
 using Limits = FleetReportLimits;
 
-/** An answer that is not as expected; does not leave this file. */
+/** A request to a daemon that failed or whose response is malformed. Always
+ * caught in this file. */
 struct InvalidResponse : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -19,14 +20,15 @@
 const json &requiredField(const json &object, const char *key) {
   const auto it = object.find(key);
   if (!object.is_object() || it == object.end()) {
-    throw InvalidResponse(std::string("no field ") + key);
+    throw InvalidResponse(std::string("missing field ") + key);
   }
   return *it;
 }
 
 std::uint64_t toCount(const json &value, const char *key) {
   if (!value.is_number_unsigned()) {
-    throw InvalidResponse(std::string("no count in ") + key);
+    throw InvalidResponse("field " + std::string(key) +
+                          " is not an unsigned integer");
   }
   return value.get<std::uint64_t>();
 }
@@ -38,7 +40,7 @@
 std::string stringField(const json &object, const char *key) {
   const auto &value = requiredField(object, key);
   if (!value.is_string()) {
-    throw InvalidResponse(std::string("no text in ") + key);
+    throw InvalidResponse("field " + std::string(key) + " is not a string");
   }
   return value.get<std::string>();
 }
@@ -46,7 +48,7 @@
 const json &arrayField(const json &object, const char *key) {
   const auto &value = requiredField(object, key);
   if (!value.is_array()) {
-    throw InvalidResponse(std::string("no list in ") + key);
+    throw InvalidResponse("field " + std::string(key) + " is not an array");
   }
   return value;
 }
@@ -60,7 +62,7 @@
   const auto &objective = requiredField(item, "objective");
   s.Objective = objective.is_number() ? objective.get<double>() : 0;
   if (!(s.Objective > 0 && s.Objective < 1)) {
-    throw InvalidResponse("objective outside of 0 to 1");
+    throw InvalidResponse("objective is not between 0 and 1");
   }
   s.Answered = countField(item, "answered");
   s.NotRun = countField(item, "not_run");
@@ -72,11 +74,12 @@
   s.LastHour = windowField(item, "calls_1h", "bad_1h");
   const auto &buckets = arrayField(item, "latency_buckets");
   if (buckets.size() > Limits::MaxBuckets) {
-    throw InvalidResponse("too many latency buckets");
+    throw InvalidResponse("more than " + std::to_string(Limits::MaxBuckets) +
+                          " latency buckets");
   }
   for (const auto &it : buckets) {
     if (!it.is_array() || it.size() != 2 || !it[0].is_number()) {
-      throw InvalidResponse("no pair in latency_buckets");
+      throw InvalidResponse("latency_buckets has an entry that is not a pair");
     }
     s.Latency[it[0].get<double>()] += toCount(it[1], "latency_buckets");
   }
@@ -101,8 +104,9 @@
   for (const auto &it : from.Latency) {
     to.Latency[it.first] += it.second;
   }
-  // Daemons of one version have the same bounds; with others, neighbouring
-  // buckets are joined from below, which only rounds latencies up.
+  // Daemons of one version have the same bucket bounds. If mixed versions give
+  // too many buckets, the lowest ones are merged into their upper neighbours,
+  // which can only overstate latencies.
   for (auto it = to.Latency.begin(); to.Latency.size() > Limits::MaxBuckets;) {
     const auto next = std::next(it);
     next->second += it->second;
@@ -110,7 +114,7 @@
   }
 }
 
-/** Asks daemons and adds up their answers. */
+/** Queries daemons and aggregates their responses. */
 class ReportCollector {
 public:
   explicit ReportCollector(OperatorContext &context)
@@ -138,7 +142,7 @@
     }
     auto value = json::parse(response->Body, nullptr, false);
     if (value.is_discarded()) {
-      throw InvalidResponse("the answer is not JSON");
+      throw InvalidResponse("the response is not valid JSON");
     }
     return value;
   }
@@ -153,7 +157,7 @@
       return;
     }
     try {
-      // Nothing is added before the whole answer is known to be good.
+      // Parse the whole response first, so that an invalid one adds nothing.
       std::map<std::pair<std::string, std::string>, FleetSeries> all;
       const auto answer = get(admin, "/-/report");
       for (const auto &it : arrayField(answer, "series")) {
@@ -222,10 +226,10 @@
     return out;
   }
 
-  /** Members that left are no longer part of the fleet; unreachable ones are
-   * counted without waiting for their time-outs. */
+  /** Queries a listed member. Skips members that left the fleet. Unreachable
+   * ones are counted as failed without a request, which would only time out. */
   void fetchMemberReport(const json &item) {
-    std::string name = "a member";
+    std::string name = "member without an address";
     try {
       name = stringField(item, "address");
       const auto state = stringField(item, "state");
@@ -235,13 +239,13 @@
       auto address = parseAddress(name);
       const auto port = countField(item, "admin_port");
       if (!address || port == 0 || port > UINT16_MAX) {
-        throw InvalidResponse("its admin address is not known");
+        throw InvalidResponse("its admin address is unknown");
       }
       address->Port = static_cast<std::uint16_t>(port);
       if (state != "unreachable") {
         fetchReport(*address);
       } else if (Queried.insert(*address).second) {
-        Report.Failed.emplace_back(name, "unreachable, not asked");
+        Report.Failed.emplace_back(name, "unreachable, not queried");
       }
     } catch (const InvalidResponse &e) {
       Report.Failed.emplace_back(name, e.what());
@@ -290,7 +294,7 @@
   if (report.Answered == 0) {
     return Reason{
         ErrorCode::ConnectionFailed,
-        "no daemon gave a usable answer: " + report.Failed.front().first +
+        "no daemon returned a valid report: " + report.Failed.front().first +
             ": " + report.Failed.front().second};
   }
   return report;
