--- a/src/daemon/fleet_report_html.cpp
+++ b/src/daemon/fleet_report_html.cpp
@@ -7,8 +7,8 @@
 namespace chivefold {
 namespace {
 
-/** Burn rates from this on fill the whole bar: at 14.4 an hour spends 2% of a
- * budget of 30 days, a usual bound for paging somebody. */
+/** Burn rate that fills the whole bar. At 14.4, one hour spends 2% of an error
+ * budget of 30 days, a common threshold for paging the on-call engineer. */
 constexpr double FullScaleBurnRate = 14.4;
 
 constexpr const char *PageHeader = R"(<!DOCTYPE html>
@@ -24,7 +24,7 @@
 <h1>chivefold report</h1>
 )";
 
-/** Escapes for element content and for quoted attributes. */
+/** Escapes @p text for element content and quoted attribute values. */
 std::string escapeHtml(const std::string &text) {
   std::string out;
   for (const char c : text) {
@@ -59,7 +59,8 @@
   return out;
 }
 
-/** @return a bar for a burn rate; above 1 the budget does not last. */
+/** @return an SVG bar for a burn rate. It is red above 1, the rate at which the
+ * error budget would be spent before its period ends. */
 std::string burnRateBar(double burnRate) {
   constexpr double full = 120;
   const auto width =
@@ -75,7 +76,7 @@
   std::string out = "<table>\n<tr>" + tableCells(rows.front(), "th") +
                     "<th>burn 1 h, full bar " +
                     formatNumber(FullScaleBurnRate) + "</th></tr>\n";
-  // seriesRows() has its rows in the order of the series.
+  // seriesRows() keeps the order of report.Series; row 0 is the header.
   std::size_t n = 1;
   for (const auto &it : report.Series) {
     out += "<tr>" + tableCells(rows[n++], "td") + "<td>" +
--- a/src/daemon/fleet_report_text.cpp
+++ b/src/daemon/fleet_report_text.cpp
@@ -80,7 +80,8 @@
   }
   if (report.SeriesLeftOut > 0) {
     lines.push_back(std::to_string(report.SeriesLeftOut) +
-                    " series beyond the bound are left out");
+                    " series are left out because of the limit of " +
+                    std::to_string(FleetReportLimits::MaxSeries));
   }
   return lines;
 }
