--- a/src/daemon/operator_http.cpp
+++ b/src/daemon/operator_http.cpp
@@ -6,9 +6,11 @@
 namespace chivefold {
 namespace {
 
-/** Largest answer: a full read of the log or the state of a large fleet. */
+/** Largest accepted body. It has room for a full batch of log records or the
+ * state of a large fleet. */
 constexpr std::size_t MaxResponseBytes = 64U << 20U;
 
+/** CURLOPT_WRITEFUNCTION. Returning 0 aborts the request. */
 std::size_t appendBody(char *data, std::size_t size, std::size_t count,
                        void *to) {
   auto &body = *static_cast<std::string *>(to);
@@ -19,6 +21,7 @@
   return size * count;
 }
 
+/** CURLOPT_HEADERFUNCTION. Stores the offsets in Log-Next and Log-First. */
 std::size_t readHeader(char *data, std::size_t size, std::size_t count,
                        void *to) {
   auto &response = *static_cast<BlockingHttpResponse *>(to);
@@ -68,7 +71,8 @@
     curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, readHeader);
     curl_easy_setopt(c, CURLOPT_HEADERDATA, &response);
     if (method != "GET") {
-      // Sends the body as for POST, under the name of the method.
+      // CURLOPT_POST makes libcurl send the body; CURLOPT_CUSTOMREQUEST then
+      // replaces the method name.
       curl_easy_setopt(c, CURLOPT_POST, 1L);
       curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, method.c_str());
       curl_easy_setopt(c, CURLOPT_POSTFIELDS, body.data());
