--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 Reason logUnavailable(const std::string &lastError) {
-  return {ErrorCode::LogUnavailable, "the log gives no answer: " + lastError};
+  return {ErrorCode::LogUnavailable, "the log did not respond: " + lastError};
 }
 
 } // namespace
@@ -67,7 +67,7 @@
       return response.reason();
     }
     if (response->Status == 410) {
-      // Records were trimmed during the scan; readToTail() scans again.
+      // Records were trimmed during the scan. readToTail() starts a new one.
       return Done{};
     }
     const auto entries = parseLogEntries(response->Body, scan.next());
@@ -80,7 +80,8 @@
   if (!state) {
     return state.reason();
   }
-  // A version never goes backwards.
+  // Never replace the state by an older one, so that the configuration version
+  // cannot go backwards.
   if (state->applied() > State.applied()) {
     State = std::move(*state);
   }
@@ -98,7 +99,8 @@
     if (response->Status == 410) {
       if (recoveries == MaxAttempts || response->LogFirst <= from) {
         return Reason{ErrorCode::LogTrimmed,
-                      "the log no longer retains " + std::to_string(raw(from))};
+                      "the log no longer retains offset " +
+                          std::to_string(raw(from))};
       }
       ++recoveries;
       auto status = restoreFromSnapshot(response->LogFirst);
@@ -126,8 +128,9 @@
       Context.Sleep(RetryDelay);
     }
     if (mayBeAppended) {
-      // The answer was lost: look for the record before it is sent again. A
-      // second copy with the same id is ignored by all readers.
+      // The response was lost, so look for the record before sending it again.
+      // If the first copy arrives later, all readers ignore the second one,
+      // which has the same id.
       if (!readToTail()) {
         continue;
       }
@@ -150,8 +153,9 @@
   if (readToTail() && State.verdict(record.Id)) {
     return Done{};
   }
-  // Even if the record is not found now, an append may still be on its way.
-  return Reason{ErrorCode::OutcomeUnknown, "the log gives no answer"};
+  // The record is not in the log now, but a request may still be in flight.
+  return Reason{ErrorCode::OutcomeUnknown,
+                "the log did not confirm the append"};
 }
 
 Result<Verdict> OperatorLogClient::append(const std::vector<Record> &records) {
@@ -159,7 +163,7 @@
     const auto status = appendOne(it);
     if (!status && &it != &records.back()) {
       return Reason{ErrorCode::LogUnavailable,
-                    "not in force, the commit was not appended: " +
+                    "not in force, the commit record was not appended: " +
                         status.reason().Message};
     }
     if (!status) {
@@ -173,7 +177,7 @@
   auto verdict = find(records.back().Id);
   if (!verdict) {
     return Reason{ErrorCode::OutcomeUnknown,
-                  "the record is not in the log yet"};
+                  "the log does not contain the record yet"};
   }
   return verdict;
 }
