--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -25,8 +25,7 @@
 /** Exit codes of the command `chivefold`. */
 enum class OperatorExitCode : int {
   Ok = 0,
-  /** The change was rejected, or the command failed without any effect that is
-   * still unknown. */
+  /** The change was rejected, or the command failed; the outcome is certain. */
   Refused = 1,
   /** Invalid flags or an invalid configuration text. */
   BadInput = 2,
@@ -96,9 +95,9 @@
 
   OperatorLogClient(OperatorContext &context, std::string baseUrl);
 
-  /** Replays the log up to its tail. Errors: LogUnavailable, or LogTrimmed if
-   * the log retains neither the next record to replay nor a complete
-   * snapshot. */
+  /** Replays the log up to its tail. Errors include LogUnavailable, and
+   * LogTrimmed if the log retains neither the next record to replay nor a
+   * complete snapshot. */
   Status readToTail();
 
   /**
@@ -106,7 +105,7 @@
    * @return the verdict on the last record. Errors: OutcomeUnknown if it cannot
    * be determined whether the last record is in the log; LogUnavailable if an
    * earlier one could not be appended, so that the last one was not sent;
-   * InvalidArgument if the log refused the last one.
+   * InvalidArgument if the log answered the last one with a 4xx status.
    * Precondition: readToTail() succeeded.
    */
   Result<Verdict> append(const std::vector<Record> &records);
--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -129,8 +129,8 @@
     }
     if (mayBeAppended) {
       // The response was lost, so look for the record before sending it again.
-      // If the first copy arrives later, all readers ignore the second one,
-      // which has the same id.
+      // If both copies end up in the log, readers ignore the second one, since
+      // it has the same id.
       if (!readToTail()) {
         continue;
       }
