--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -11,6 +11,8 @@
 
 using nlohmann::json;
 
+/** Formats a result as JSON or text. Errors go to standard error unless JSON is
+ * requested. */
 OperatorResult makeResult(OperatorExitCode exit, const std::string &outcome,
                           const std::string &message, json details,
                           bool asJson) {
@@ -34,7 +36,7 @@
                     {{"line", reason.Line}, {"column", reason.Column}}, asJson);
 }
 
-/** For failures before anything was appended. */
+/** Result of a failure before any record was sent to the log. */
 OperatorResult failedBeforeAppend(const Reason &reason, bool asJson) {
   const bool unknown = reason.Code == ErrorCode::LogUnavailable;
   return makeResult(
@@ -47,7 +49,7 @@
                                     bool asJson) {
   return makeResult(OperatorExitCode::Unknown, "unknown",
                     "unknown: " + reason.Message +
-                        "; ask again with `chivefold apply --resume " +
+                        "; query the outcome with `chivefold apply --resume " +
                         toString(id) + "`",
                     {{"id", toString(id)}}, asJson);
 }
@@ -175,8 +177,8 @@
     return makeResult(OperatorExitCode::Unknown, "unknown",
                       "unknown: the retained log has no record " +
                           toString(id) +
-                          "; it was not accepted unless its append is still on "
-                          "its way or its record is no longer retained",
+                          "; it was not accepted unless its append is still in "
+                          "flight or its record has been trimmed",
                       {{"id", toString(id)}}, options.Json);
   }
   return verdictResult(*verdict, log, id, options.Json);
@@ -184,7 +186,7 @@
 
 namespace {
 
-/** Records a take-out or put-back in the log. */
+/** Appends the record of a take-out or put-back to the log. */
 OperatorResult appendDataCentreRecord(const std::string &dataCentre,
                                       bool takenOut, OperatorContext &context,
                                       const std::string &logUrl, bool json) {
@@ -200,8 +202,8 @@
          "no data centre " + dataCentre + " in the configuration"},
         json);
   }
-  // A put-back is always appended: it also ends a take-out that so far only
-  // spreads between daemons and is not in the log.
+  // A put-back is always appended, since it also ends a take-out that daemons
+  // propagate among themselves but that is not in the log yet.
   if (takenOut && log.state().takenOut(dataCentre)) {
     return makeResult(OperatorExitCode::Ok, "same",
                       dataCentre +
@@ -214,7 +216,8 @@
                          json);
 }
 
-/** @return why the daemon does not spread the take-out; empty if it does. */
+/** Asks the daemon at @p admin to propagate a take-out. @return an error
+ * message; empty if the daemon does propagate it. */
 std::string requestTakeOut(const std::string &dataCentre,
                            OperatorContext &context, const Address &admin) {
   const auto response = context.Http.request(
@@ -228,7 +231,8 @@
                                  : "status " + std::to_string(response->Status);
 }
 
-/** Names that need no escaping in a URL; no other is in a configuration. */
+/** @return whether @p name needs no escaping in a URL. Every valid name of a
+ * data centre satisfies this. */
 bool isUrlSafeName(const std::string &name) {
   return !name.empty() &&
          std::all_of(name.begin(), name.end(), [](unsigned char c) {
@@ -248,7 +252,8 @@
                       json::object(), options.Json);
   }
   const bool asksDaemon = takenOut && options.Admin;
-  // The daemon is asked first, since it needs no answer from the log.
+  // Notify the daemon first: it can propagate the take-out even while the log
+  // is unavailable.
   const auto takeOutError =
       asksDaemon ? requestTakeOut(dataCentre, context, *options.Admin) : "";
   auto result = appendDataCentreRecord(dataCentre, takenOut, context,
