--- a/src/daemon/operator_commands.cpp
+++ b/src/daemon/operator_commands.cpp
@@ -11,7 +11,7 @@
 namespace chivefold {
 namespace {
 
-/** Everything that the flags can set. */
+/** Values of all flags and arguments. The subcommands share them. */
 struct Flags {
   std::string File;
   std::string DataCentre;
@@ -66,7 +66,7 @@
 }
 
 void addLogUrlOption(CLI::App *sub, Flags &flags) {
-  sub->add_option("--log-url", flags.LogUrl, "the platform's log")
+  sub->add_option("--log-url", flags.LogUrl, "base URL of the platform's log")
       ->envname("CHIVEFOLD_LOG_URL")
       ->required()
       ->check(validateLogUrl)
@@ -92,24 +92,26 @@
       ->check(validateAdminAddress)
       ->type_name("IP:PORT");
   sub->add_flag("--fleet", flags.WholeFleet,
-                "also ask the members that the first daemon lists");
+                "also query the members that the first daemon lists");
   sub->add_option("--html", flags.HtmlFile, "also write an HTML page");
 }
 
 void addCommands(CLI::App &app, Flags &flags) {
   auto *check =
-      addSubcommand(app, flags, "check", "check a configuration text");
-  check->add_option("FILE", flags.File, "the text")->required();
-  auto *diff =
-      addSubcommand(app, flags, "diff", "show what a text would change");
-  diff->add_option("FILE", flags.File, "the text")->required();
+      addSubcommand(app, flags, "check", "check a configuration file");
+  check->add_option("FILE", flags.File, "the configuration file")->required();
+  auto *diff = addSubcommand(app, flags, "diff",
+                             "show what a configuration file would change");
+  diff->add_option("FILE", flags.File, "the configuration file")->required();
   addLogUrlOption(diff, flags);
-  auto *apply = addSubcommand(app, flags, "apply", "put a text in force");
-  auto *file = apply->add_option("FILE", flags.File, "the text");
-  apply->add_option("--base", flags.Base, "version that the text was based on");
+  auto *apply =
+      addSubcommand(app, flags, "apply", "apply a configuration file");
+  auto *file = apply->add_option("FILE", flags.File, "the configuration file");
+  apply->add_option("--base", flags.Base,
+                    "configuration version that the file is based on");
   apply
       ->add_option("--resume", flags.Resume,
-                   "ask what became of an earlier apply")
+                   "query the outcome of an earlier apply")
       ->check(validateRecordId)
       ->type_name("ID")
       ->excludes(file);
@@ -117,17 +119,19 @@
   for (const auto *name : {"take-out", "put-back"}) {
     auto *sub = addSubcommand(app, flags, name,
                               std::string_view(name) == "take-out"
-                                  ? "give a data centre no new work"
-                                  : "give a data centre new work again");
+                                  ? "route no new calls to a data centre"
+                                  : "route new calls to a data centre again");
     sub->add_option("DC", flags.DataCentre, "the data centre")->required();
     addLogUrlOption(sub, flags);
     if (std::string_view(name) == "take-out") {
-      addAdminOption(sub, flags.Admin, "daemon that spreads it at once");
+      addAdminOption(
+          sub, flags.Admin,
+          "admin address of a daemon that propagates the take-out immediately");
     }
   }
   const std::pair<const char *, const char *> views[] = {
       {"status", "show a daemon's view of the fleet"},
-      {"moves", "show moves and how they ended"}};
+      {"moves", "show moves and their results"}};
   for (const auto &it : views) {
     addAdminOption(addSubcommand(app, flags, it.first, it.second), flags.Admin,
                    "admin address of a daemon")
@@ -199,8 +203,8 @@
   if (name == "report") {
     return runReport(flags, context);
   }
-  // The command decides, not the flags: CLI11 also reads the environment
-  // variables of commands that were not given.
+  // Dispatch on the subcommand rather than on which flags are set: CLI11 also
+  // sets the flags of other subcommands from environment variables.
   for (const auto &it : Views) {
     if (it.first == name) {
       return showView(it.second, context, *parseAddress(flags.Admin),
