--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -8,7 +8,8 @@
 
 using nlohmann::json;
 
-/** @return a value as text; "-" if it is absent or of an unexpected type. */
+/** @return the value of a field as text; "-" if it is absent, empty, an object
+ * or an array. */
 std::string fieldText(const json &object, const char *key) {
   const auto it = object.is_object() ? object.find(key) : object.end();
   if (!object.is_object() || it == object.end()) {
@@ -23,6 +24,8 @@
              : "-";
 }
 
+/** @return a table with one row per element of the array @p list in @p state
+ * and one column per key. */
 std::string listTable(const json &state, const char *list,
                       const TextRow &keys) {
   std::vector<TextRow> rows = {keys};
@@ -72,7 +75,7 @@
   const auto value = json::parse(response->Body, nullptr, false);
   if (!value.is_object()) {
     return {OperatorExitCode::Refused, "",
-            "the answer from " + url + " is not a JSON object"};
+            "the response from " + url + " is not a JSON object"};
   }
   if (asJson) {
     return {OperatorExitCode::Ok, response->Body, ""};
