--- a/tools/chivefold.cpp
+++ b/tools/chivefold.cpp
@@ -1,6 +1,7 @@
 /**
  * @file
- * The operator's command.
+ * The command `chivefold`, which operators use to check and apply
+ * configurations and to inspect daemons.
  */
 #include "chivefold/daemon/operator_commands.h"
 
@@ -13,7 +14,8 @@
 
 namespace {
 
-/** Bounds one request; a command makes a bounded number of them. */
+/** Timeout of one HTTP request. Retries are limited in number, so a command
+ * does not hang on an unresponsive server. */
 constexpr std::chrono::milliseconds RequestTimeout{5000};
 
 RecordId randomId() {
@@ -25,6 +27,7 @@
   return id;
 }
 
+/** @return "user@host", the writer name in this operator's records. */
 std::string writerName() {
   char host[64] = {};
   gethostname(host, sizeof host - 1);
--- a/tools/chivefoldd.cpp
+++ b/tools/chivefoldd.cpp
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * The daemon chivefoldd: parses its settings and runs until SIGTERM or SIGINT.
+ */
 #include "chivefold/daemon/daemon.h"
 #include "chivefold/io/logging.h"
 
