--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -9,15 +9,16 @@
 
 enum class AppendFault { None, ResponseLost, RequestLost, Down };
 
-/** A log in memory; each append takes the next fault. */
+/** In-memory log. Each append consumes the next entry of Faults. */
 class FakeLog : public BlockingHttpClient {
 public:
   std::vector<std::string> Records;
   std::deque<AppendFault> Faults;
-  /** Appended by a rival just before the next append. */
+  /** Record of another operator, inserted just before the next append. */
   std::string CompetingRecord;
   bool Down = false;
-  /** Requests to a daemon, and its answer to them. */
+  /** URLs of PUT requests, which go to a daemon, and the status of its
+   * responses. */
   std::vector<std::string> PutUrls;
   int PutStatus = 200;
 
@@ -97,7 +98,7 @@
 
 } // namespace
 
-// Guards against an apply that appends for a bad or an unchanged text.
+// Guards against appending a record for an invalid or unchanged configuration.
 TEST_CASE("apply appends only real changes", "[operator]") {
   Fixture f;
   const auto bad = f.apply("[fleet]\n");
@@ -111,20 +112,21 @@
   CHECK(f.Log.Records.size() == 1);
 }
 
-// Guards against a lost race that is reported as accepted.
+// Guards against reporting a change as accepted after another operator's change
+// to the same version came first.
 TEST_CASE("apply reports a lost race", "[operator]") {
   Fixture f;
   f.Log.CompetingRecord = competingChange(Version::None);
   const auto lost = f.apply(configurationWith("['a']"));
   CHECK(lost.Exit == OperatorExitCode::Refused);
   CHECK(lost.Error == "refused, not in force: lost race to offset 1 by bilal");
-  // A stale base loses even when nothing races.
+  // A stale base version loses even without a concurrent change.
   CHECK(f.apply(configurationWith("['a']"), Version::None).Exit ==
         OperatorExitCode::Refused);
 }
 
-// Guards against a lost answer that is reported as a failure, or appended
-// twice although the record is there.
+// Guards against reporting a failure, or appending the record a second time,
+// when the append succeeded but its response was lost.
 TEST_CASE("apply resolves lost answers", "[operator]") {
   Fixture f;
   f.Log.Faults = {AppendFault::ResponseLost};
@@ -135,7 +137,8 @@
   CHECK(f.Log.Records.size() == 2);
 }
 
-// Guards against a guess when the log cannot be asked.
+// Guards against reporting success or failure while the outcome of an append
+// cannot be read from the log.
 TEST_CASE("apply says unknown while the log is down", "[operator]") {
   Fixture f;
   f.Log.Faults = {AppendFault::Down};
@@ -156,7 +159,7 @@
         "accepted at offset 1\n");
 }
 
-// Guards against bad flags that are taken as something else.
+// Guards against accepting invalid or incomplete flags.
 TEST_CASE("operator flags are checked", "[operator]") {
   Fixture f;
   const auto exit = [&](std::vector<const char *> args) {
@@ -175,8 +178,8 @@
         OperatorExitCode::BadInput);
 }
 
-// Guards against a take-out that waits for the log, and against output that
-// does not tell what took effect.
+// Guards against a take-out that needs the log before a daemon propagates it,
+// and against output that does not state what took effect.
 TEST_CASE("take-out says whether it is spread and recorded", "[operator]") {
   Fixture f;
   REQUIRE(f.apply(configurationWith("['a', 'b']")).Exit ==
@@ -209,7 +212,7 @@
   CHECK_THAT(odd.Output, Catch::Contains("\"outcome\": \"bad-name\""));
 }
 
-// Guards against a diff that appends, or hides a change.
+// Guards against a diff that appends records or omits a change.
 TEST_CASE("diff shows changes and appends nothing", "[operator]") {
   Fixture f;
   REQUIRE(f.apply(configurationWith("['a']")).Exit == OperatorExitCode::Ok);
