--- a/tests/unit/fleet_report_test.cpp
+++ b/tests/unit/fleet_report_test.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/** Daemons by URL without "http://"; others do not answer. */
+/** Serves fixed bodies, keyed by URL without "http://". Requests to any other
+ * URL fail to connect. */
 class FakeDaemons : public BlockingHttpClient {
 public:
   std::map<std::string, std::string> Bodies;
@@ -30,7 +31,8 @@
   }
 };
 
-/** A real daemon's report: @p good calls of 1 ms and @p bad ones of 100 ms. */
+/** @return the report of a daemon, produced by Metrics, with @p good calls of
+ * 1 ms and @p bad ones of 100 ms. */
 std::string daemonReport(int good, int bad, const std::string &kind = "book") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", kind, 0.9);
@@ -87,8 +89,8 @@
 
 } // namespace
 
-// Guards against merged figures that are averages of rates or quantiles, and
-// against a daemon that is counted twice or left out in silence.
+// Guards against aggregating by averaging rates or quantiles instead of adding
+// counts, and against counting a daemon twice or omitting one without notice.
 TEST_CASE("report adds up the whole fleet", "[report]") {
   Fixture f;
   const auto result = f.run({"report", "--admin", "127.0.0.1:1", "--admin",
@@ -113,8 +115,8 @@
   CHECK(out["data_centres_out"] == json{"east"});
 }
 
-// Guards against a text form without the figures or the gaps, and against a
-// page that runs what a name contains.
+// Guards against text output that lacks metrics or failed daemons, and against
+// HTML injection through names.
 TEST_CASE("report prints text and an escaped page", "[report]") {
   Fixture f;
   f.Daemons.Bodies["127.0.0.1:2/-/report"] = daemonReport(1, 0, "<script>\n'");
@@ -139,7 +141,8 @@
   CHECK_THAT(page.str(), Catch::Contains("<svg"));
 }
 
-// Guards against a faulty answer that is added in part or taken as no calls.
+// Guards against adding part of an invalid response, or treating it as a report
+// without calls.
 TEST_CASE("faulty answers are counted as failed", "[report]") {
   const std::string good = daemonReport(90, 10);
   auto negative = json::parse(good);
@@ -164,7 +167,7 @@
   }
 }
 
-// Guards against a report that asks without bound in a large fleet.
+// Guards against an unbounded number of requests in a large fleet.
 TEST_CASE("at most 256 daemons are asked", "[report]") {
   Fixture f;
   auto state = json::parse(f.Daemons.Bodies["127.0.0.1:1/-/state"]);
@@ -179,7 +182,8 @@
   CHECK(report->NotAsked == 44);
 }
 
-// Guards against views that show nothing or exit with 0 on a faulty answer.
+// Guards against views that omit the state, and against exit code 0 for an
+// invalid response.
 TEST_CASE("status and moves show a daemon's state", "[operator]") {
   Fixture f;
   CHECK_THAT(f.run({"status", "--admin", "127.0.0.1:1"}).Output,
