--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-// Guards against a daemon that starts with a wrong or missing setting.
+// Guards against starting the daemon with an invalid or missing setting.
 TEST_CASE("a bad setting gives one line and exit code 2", "[settings]") {
   auto argv = completeFlags();
   argv[2] = "localhost:1";
@@ -50,7 +50,7 @@
   CHECK(parse(argv).ExitCode == 2);
 }
 
-// Guards against an environment variable that is not read.
+// Guards against settings that ignore their environment variable.
 TEST_CASE("every setting has an environment variable", "[settings]") {
   setenv("CHIVEFOLD_SEEDS", "127.0.0.1:7,127.0.0.1:8", 1);
   setenv("CHIVEFOLD_DRAIN_MS", "1234", 1);
