--- a/include/chivefold/daemon/operator_commands.h
+++ b/include/chivefold/daemon/operator_commands.h
@@ -52,8 +52,7 @@
   LogOffset LogFirst = LogOffset::None;
 };
 
-/** HTTP client whose requests block. Implementations need not be thread-safe.
- */
+/** Blocking HTTP client. Implementations need not be thread-safe. */
 class BlockingHttpClient {
 public:
   virtual ~BlockingHttpClient() = default;
@@ -88,8 +87,8 @@
  */
 class OperatorLogClient {
 public:
-  /** Attempts of one read or append while the log does not respond, and
-   * restores from a snapshot in one readToTail(). */
+  /** Maximum number of attempts of one read or append, and of restores from a
+   * snapshot in one readToTail(). */
   static constexpr int MaxAttempts = 5;
   static constexpr std::chrono::milliseconds RetryDelay{300};
 
@@ -195,8 +194,7 @@
 enum class OperatorView { Status, Moves };
 
 /** Implements `chivefold status` and `moves`: fetches the state of the daemon
- * at
- * @p admin and formats @p view. */
+ * at address @p admin and formats @p view. */
 OperatorResult showView(OperatorView view, OperatorContext &context,
                         const Address &admin, bool json);
 
