--- a/src/daemon/fleet_report.cpp
+++ b/src/daemon/fleet_report.cpp
@@ -79,7 +79,8 @@
   }
   for (const auto &it : buckets) {
     if (!it.is_array() || it.size() != 2 || !it[0].is_number()) {
-      throw InvalidResponse("latency_buckets has an entry that is not a pair");
+      throw InvalidResponse(
+          "an entry of latency_buckets is not a pair [bound, count]");
     }
     s.Latency[it[0].get<double>()] += toCount(it[1], "latency_buckets");
   }
