--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 Reason logUnavailable(const std::string &lastError) {
-  return {ErrorCode::LogUnavailable, "the log did not respond: " + lastError};
+  return {ErrorCode::LogUnavailable, "the log is unavailable: " + lastError};
 }
 
 } // namespace
