--- a/include/chivefold/daemon/fleet_report.h
+++ b/include/chivefold/daemon/fleet_report.h
@@ -26,7 +26,9 @@
   std::uint64_t NotRun = 0;
   std::uint64_t Unknown = 0;
   std::uint64_t Good = 0;
+  /** Sum of the configured worth of all calls. */
   std::uint64_t WorthOffered = 0;
+  /** Worth of the good calls among them. */
   std::uint64_t WorthServed = 0;
   WindowCounts Last5Minutes;
   WindowCounts LastHour;
