--- a/src/daemon/fleet_report_text.cpp
+++ b/src/daemon/fleet_report_text.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr const char *StateUnknown =
+constexpr const char *StateUnknownLine =
     "moves and data centres: not known, no daemon gave its state\n";
 
 json seriesJson(const std::pair<std::string, std::string> &key,
@@ -22,32 +22,34 @@
           {"not_run", s.NotRun},
           {"unknown", s.Unknown},
           {"good", s.Good},
-          {"error_budget_spent", s.burn(s.total())},
-          {"burn_rate_5m", s.burn(s.Short)},
-          {"burn_rate_1h", s.burn(s.Long)},
+          {"error_budget_spent", s.burnRate(s.total())},
+          {"burn_rate_5m", s.burnRate(s.Last5Minutes)},
+          {"burn_rate_1h", s.burnRate(s.LastHour)},
           {"worth_served", s.WorthServed},
           {"worth_offered", s.WorthOffered},
           {"latency_ms_median", s.latencyMs(MedianQuantile)},
-          {"latency_ms_99th", s.latencyMs(TailQuantile)}};
+          {"latency_ms_99th", s.latencyMs(P99Quantile)}};
 }
 
 } // namespace
 
-std::vector<TextRow> reportRows(const FleetReport &report) {
+std::vector<TextRow> seriesRows(const FleetReport &report) {
   std::vector<TextRow> rows = {{"service", "kind", "objective", "answered",
                                 "not-run", "unknown", "budget spent",
                                 "burn 5 min", "burn 1 h", "worth served",
                                 "median ms", "99th ms"}};
   for (const auto &it : report.Series) {
     const auto &s = it.second;
-    rows.push_back({it.first.first, it.first.second, shortNumber(s.Objective),
+    rows.push_back({it.first.first, it.first.second, formatNumber(s.Objective),
                     std::to_string(s.Answered), std::to_string(s.NotRun),
-                    std::to_string(s.Unknown), percent(s.burn(s.total())),
-                    burnText(s.burn(s.Short)), burnText(s.burn(s.Long)),
+                    std::to_string(s.Unknown),
+                    formatPercent(s.burnRate(s.total())),
+                    formatBurnRate(s.burnRate(s.Last5Minutes)),
+                    formatBurnRate(s.burnRate(s.LastHour)),
                     std::to_string(s.WorthServed) + " of " +
                         std::to_string(s.WorthOffered),
-                    millis(s.latencyMs(MedianQuantile)),
-                    millis(s.latencyMs(TailQuantile))});
+                    formatMilliseconds(s.latencyMs(MedianQuantile)),
+                    formatMilliseconds(s.latencyMs(P99Quantile))});
   }
   return rows;
 }
@@ -55,12 +57,14 @@
 std::vector<TextRow> moveRows(const FleetReport &report) {
   std::vector<TextRow> rows = {
       {"service", "from", "to", "result", "ended", "reason", "evidence"}};
-  const auto orDash = [](const std::string &s) { return s.empty() ? "-" : s; };
+  const auto dashIfEmpty = [](const std::string &s) {
+    return s.empty() ? "-" : s;
+  };
   for (const auto &it : report.Moves) {
     rows.push_back({it.Service, it.From, it.To, it.Result,
                     it.EndUtc.empty() ? "offset " + std::to_string(it.EndOffset)
                                       : it.EndUtc,
-                    orDash(it.Reason), orDash(it.Evidence)});
+                    dashIfEmpty(it.Reason), dashIfEmpty(it.Evidence)});
   }
   return rows;
 }
@@ -76,7 +80,8 @@
   }
   if (report.SeriesLeftOut > 0) {
     lines.push_back(std::to_string(report.SeriesLeftOut) +
-                    " series beyond the bound are left out");
+                    " series are left out because of the limit of " +
+                    std::to_string(FleetReportLimits::MaxSeries));
   }
   return lines;
 }
@@ -87,12 +92,12 @@
     text += it + "\n";
   }
   text += "\n" + (report.Series.empty() ? "calls: none\n"
-                                        : aligned(reportRows(report)));
+                                        : formatTable(seriesRows(report)));
   if (!report.StateKnown) {
-    return text + "\n" + StateUnknown;
+    return text + "\n" + StateUnknownLine;
   }
   text += "\n" + (report.Moves.empty() ? "ended moves: none\n"
-                                       : aligned(moveRows(report)));
+                                       : formatTable(moveRows(report)));
   text += "\ndata centres out:";
   for (const auto &it : report.DataCentresOut) {
     text += " " + it;
--- a/src/daemon/operator_apply.cpp
+++ b/src/daemon/operator_apply.cpp
@@ -11,8 +11,11 @@
 
 using nlohmann::json;
 
-OperatorResult report(OperatorExit exit, const std::string &outcome,
-                      const std::string &message, json details, bool asJson) {
+/** Formats a result as JSON or text. Errors go to standard error unless JSON is
+ * requested. */
+OperatorResult makeResult(OperatorExitCode exit, const std::string &outcome,
+                          const std::string &message, json details,
+                          bool asJson) {
   OperatorResult result;
   result.Exit = exit;
   if (asJson) {
@@ -20,7 +23,7 @@
     details["message"] = message;
     result.Output =
         details.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
-  } else if (exit == OperatorExit::Ok) {
+  } else if (exit == OperatorExitCode::Ok) {
     result.Output = message + "\n";
   } else {
     result.Error = message;
@@ -28,29 +31,30 @@
   return result;
 }
 
-OperatorResult badText(const Reason &reason, bool asJson) {
-  return report(OperatorExit::BadInput, "bad-text", toString(reason),
-                {{"line", reason.Line}, {"column", reason.Column}}, asJson);
+OperatorResult invalidConfigurationResult(const Reason &reason, bool asJson) {
+  return makeResult(OperatorExitCode::BadInput, "bad-text", toString(reason),
+                    {{"line", reason.Line}, {"column", reason.Column}}, asJson);
 }
 
-/** For failures before anything was appended. */
-OperatorResult failed(const Reason &reason, bool asJson) {
+/** Result of a failure before any record was sent to the log. */
+OperatorResult failedBeforeAppend(const Reason &reason, bool asJson) {
   const bool unknown = reason.Code == ErrorCode::LogUnavailable;
-  return report(unknown ? OperatorExit::Unknown : OperatorExit::Refused,
-                unknown ? "unknown" : "failed",
-                reason.Message + "; nothing was appended", json::object(),
-                asJson);
+  return makeResult(
+      unknown ? OperatorExitCode::Unknown : OperatorExitCode::Refused,
+      unknown ? "unknown" : "failed", reason.Message + "; nothing was appended",
+      json::object(), asJson);
 }
 
-OperatorResult unknown(const Reason &reason, const RecordId &id, bool asJson) {
-  return report(OperatorExit::Unknown, "unknown",
-                "unknown: " + reason.Message +
-                    "; ask again with `chivefold apply --resume " +
-                    toString(id) + "`",
-                {{"id", toString(id)}}, asJson);
+OperatorResult unknownOutcomeResult(const Reason &reason, const RecordId &id,
+                                    bool asJson) {
+  return makeResult(OperatorExitCode::Unknown, "unknown",
+                    "unknown: " + reason.Message +
+                        "; query the outcome with `chivefold apply --resume " +
+                        toString(id) + "`",
+                    {{"id", toString(id)}}, asJson);
 }
 
-std::string refusal(const Verdict &v, const OperatorLog &log) {
+std::string rejectionReason(const Verdict &v, const OperatorLogClient &log) {
   if (v.Kind == VerdictKind::LostRace) {
     const auto writer =
         v.WinnerWriter.empty() ? log.writerAt(v.WinnerOffset) : v.WinnerWriter;
@@ -60,144 +64,151 @@
   return std::string(verdictName(v.Kind));
 }
 
-OperatorResult judged(const Verdict &v, const OperatorLog &log,
-                      const RecordId &id, bool asJson) {
+OperatorResult verdictResult(const Verdict &v, const OperatorLogClient &log,
+                             const RecordId &id, bool asJson) {
   json details = {{"offset", raw(v.Offset)},
                   {"verdict", verdictName(v.Kind)},
                   {"id", toString(id)}};
   if (v.Kind == VerdictKind::Counted) {
-    return report(OperatorExit::Ok, "accepted",
-                  "accepted at offset " + std::to_string(raw(v.Offset)),
-                  details, asJson);
+    return makeResult(OperatorExitCode::Ok, "accepted",
+                      "accepted at offset " + std::to_string(raw(v.Offset)),
+                      details, asJson);
   }
   if (v.WinnerOffset != LogOffset::None) {
     details["winner"] = raw(v.WinnerOffset);
   }
-  return report(OperatorExit::Refused, "refused",
-                "refused, not in force: " + refusal(v, log), details, asJson);
+  return makeResult(OperatorExitCode::Refused, "refused",
+                    "refused, not in force: " + rejectionReason(v, log),
+                    details, asJson);
 }
 
-OperatorResult appendAndReport(OperatorLog &log,
+OperatorResult appendAndReport(OperatorLogClient &log,
                                const std::vector<Record> &records,
                                bool asJson) {
   const auto &id = records.back().Id;
   const auto verdict = log.append(records);
   if (verdict) {
-    return judged(*verdict, log, id, asJson);
+    return verdictResult(*verdict, log, id, asJson);
   }
   if (verdict.reason().Code == ErrorCode::OutcomeUnknown) {
-    return unknown(verdict.reason(), id, asJson);
+    return unknownOutcomeResult(verdict.reason(), id, asJson);
   }
-  return report(OperatorExit::Refused, "failed", verdict.reason().Message,
-                {{"id", toString(id)}}, asJson);
+  return makeResult(OperatorExitCode::Refused, "failed",
+                    verdict.reason().Message, {{"id", toString(id)}}, asJson);
 }
 
 } // namespace
 
-OperatorResult checkText(const std::string &text,
-                         const OperatorContext &context, bool json) {
+OperatorResult checkConfiguration(const std::string &text,
+                                  const OperatorContext &context, bool json) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
-    return badText(config.reason(), json);
+    return invalidConfigurationResult(config.reason(), json);
   }
-  return report(OperatorExit::Ok, "good",
-                "good: " + std::to_string(config->Services.size()) +
-                    " services",
-                {{"services", config->Services.size()}}, json);
+  return makeResult(OperatorExitCode::Ok, "good",
+                    "good: " + std::to_string(config->Services.size()) +
+                        " services",
+                    {{"services", config->Services.size()}}, json);
 }
 
-OperatorResult diffText(const std::string &text, OperatorContext &context,
-                        const std::string &logUrl, bool json) {
+OperatorResult diffConfiguration(const std::string &text,
+                                 OperatorContext &context,
+                                 const std::string &logUrl, bool json) {
   const auto config = compileConfiguration(text);
   if (!config) {
-    return badText(config.reason(), json);
+    return invalidConfigurationResult(config.reason(), json);
   }
-  OperatorLog log(context, logUrl);
+  OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), json);
+    return failedBeforeAppend(read.reason(), json);
   }
   const auto sections = difference(*log.state().configuration(), *config);
   auto lines = describe(sections);
   if (!lines.empty()) {
     lines.pop_back();
   }
-  return report(
-      OperatorExit::Ok, sections.empty() ? "same" : "different",
+  return makeResult(
+      OperatorExitCode::Ok, sections.empty() ? "same" : "different",
       sections.empty() ? "no difference" : lines,
       {{"version", raw(log.state().version())}, {"sections", sections.size()}},
       json);
 }
 
-OperatorResult applyText(const std::string &text, OperatorContext &context,
-                         const ApplyOptions &options) {
+OperatorResult applyConfiguration(const std::string &text,
+                                  OperatorContext &context,
+                                  const ApplyOptions &options) {
   const auto config = compileConfiguration(text, context.Now());
   if (!config) {
-    return badText(config.reason(), options.Json);
+    return invalidConfigurationResult(config.reason(), options.Json);
   }
-  OperatorLog log(context, options.LogUrl);
+  OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), options.Json);
+    return failedBeforeAppend(read.reason(), options.Json);
   }
   auto sections = difference(*log.state().configuration(), *config);
   const auto version = log.state().version();
   if (sections.empty()) {
-    return report(OperatorExit::Ok, "same",
-                  "no difference to version " + std::to_string(raw(version)) +
-                      ", nothing was appended",
-                  {{"version", raw(version)}}, options.Json);
+    return makeResult(OperatorExitCode::Ok, "same",
+                      "no difference to version " +
+                          std::to_string(raw(version)) +
+                          ", nothing was appended",
+                      {{"version", raw(version)}}, options.Json);
   }
   const auto records =
       makeChange(options.Base.value_or(version), std::move(sections),
                  context.NewId, context.Writer);
   if (!records) {
-    return failed(records.reason(), options.Json);
+    return failedBeforeAppend(records.reason(), options.Json);
   }
   return appendAndReport(log, *records, options.Json);
 }
 
 OperatorResult resumeApply(const RecordId &id, OperatorContext &context,
                            const ApplyOptions &options) {
-  OperatorLog log(context, options.LogUrl);
+  OperatorLogClient log(context, options.LogUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return unknown(read.reason(), id, options.Json);
+    return unknownOutcomeResult(read.reason(), id, options.Json);
   }
   const auto verdict = log.find(id);
   if (!verdict) {
-    return report(OperatorExit::Unknown, "unknown",
-                  "unknown: the retained log has no record " + toString(id) +
-                      "; it was not accepted unless its append is still on "
-                      "its way or its record is no longer retained",
-                  {{"id", toString(id)}}, options.Json);
+    return makeResult(OperatorExitCode::Unknown, "unknown",
+                      "unknown: the retained log has no record " +
+                          toString(id) +
+                          "; it was not accepted unless its append is still in "
+                          "flight or its record has been trimmed",
+                      {{"id", toString(id)}}, options.Json);
   }
-  return judged(*verdict, log, id, options.Json);
+  return verdictResult(*verdict, log, id, options.Json);
 }
 
 namespace {
 
-/** Records a take-out or put-back in the log. */
-OperatorResult recordDataCentre(const std::string &dataCentre, bool takenOut,
-                                OperatorContext &context,
-                                const std::string &logUrl, bool json) {
-  OperatorLog log(context, logUrl);
+/** Appends the record of a take-out or put-back to the log. */
+OperatorResult appendDataCentreRecord(const std::string &dataCentre,
+                                      bool takenOut, OperatorContext &context,
+                                      const std::string &logUrl, bool json) {
+  OperatorLogClient log(context, logUrl);
   const auto read = log.readToTail();
   if (!read) {
-    return failed(read.reason(), json);
+    return failedBeforeAppend(read.reason(), json);
   }
   const auto &known = log.state().configuration()->FleetSettings.DataCentres;
   if (std::find(known.begin(), known.end(), dataCentre) == known.end()) {
-    return failed({ErrorCode::NotFound,
-                   "no data centre " + dataCentre + " in the configuration"},
-                  json);
+    return failedBeforeAppend(
+        {ErrorCode::NotFound,
+         "no data centre " + dataCentre + " in the configuration"},
+        json);
   }
-  // A put-back is always appended: it also ends a take-out that so far only
-  // spreads between daemons and is not in the log.
+  // A put-back is always appended, since it also ends a take-out that daemons
+  // propagate among themselves but that is not in the log yet.
   if (takenOut && log.state().takenOut(dataCentre)) {
-    return report(OperatorExit::Ok, "same",
-                  dataCentre + " is already taken out, nothing was appended",
-                  nlohmann::json::object(), json);
+    return makeResult(OperatorExitCode::Ok, "same",
+                      dataCentre +
+                          " is already taken out, nothing was appended",
+                      nlohmann::json::object(), json);
   }
   return appendAndReport(log,
                          {{context.NewId(), context.Writer,
@@ -205,9 +216,10 @@
                          json);
 }
 
-/** @return why the daemon does not spread the take-out; empty if it does. */
-std::string spreadFault(const std::string &dataCentre, OperatorContext &context,
-                        const Address &admin) {
+/** Asks the daemon at @p admin to propagate a take-out. @return an error
+ * message; empty if the daemon does propagate it. */
+std::string requestTakeOut(const std::string &dataCentre,
+                           OperatorContext &context, const Address &admin) {
   const auto response = context.Http.request(
       "PUT",
       "http://" + toString(admin) + "/-/take-out?data_centre=" + dataCentre,
@@ -219,8 +231,9 @@
                                  : "status " + std::to_string(response->Status);
 }
 
-/** Names that need no escaping in a URL; no other is in a configuration. */
-bool isPlainName(const std::string &name) {
+/** @return whether @p name needs no escaping in a URL. Every valid name of a
+ * data centre satisfies this. */
+bool isUrlSafeName(const std::string &name) {
   return !name.empty() &&
          std::all_of(name.begin(), name.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
@@ -229,41 +242,44 @@
 
 } // namespace
 
-OperatorResult setDataCentre(const std::string &dataCentre, bool takenOut,
-                             OperatorContext &context,
-                             const DataCentreOptions &options) {
-  if (!isPlainName(dataCentre)) {
-    return report(OperatorExit::BadInput, "bad-name",
-                  "expected the name of a data centre, got '" + dataCentre +
-                      "'",
-                  json::object(), options.Json);
+OperatorResult setDataCentreTakenOut(const std::string &dataCentre,
+                                     bool takenOut, OperatorContext &context,
+                                     const DataCentreOptions &options) {
+  if (!isUrlSafeName(dataCentre)) {
+    return makeResult(OperatorExitCode::BadInput, "bad-name",
+                      "expected the name of a data centre, got '" + dataCentre +
+                          "'",
+                      json::object(), options.Json);
   }
-  const bool asked = takenOut && options.Admin;
-  // The daemon is asked first, since it needs no answer from the log.
-  const auto fault =
-      asked ? spreadFault(dataCentre, context, *options.Admin) : "";
-  auto result = recordDataCentre(dataCentre, takenOut, context, options.LogUrl,
-                                 options.Json);
-  if (!asked) {
+  const bool asksDaemon = takenOut && options.Admin;
+  // Notify the daemon first: it can propagate the take-out even while the log
+  // is unavailable.
+  const auto takeOutError =
+      asksDaemon ? requestTakeOut(dataCentre, context, *options.Admin) : "";
+  auto result = appendDataCentreRecord(dataCentre, takenOut, context,
+                                       options.LogUrl, options.Json);
+  if (!asksDaemon) {
     return result;
   }
-  const bool recorded = result.Exit == OperatorExit::Ok;
+  const bool recorded = result.Exit == OperatorExitCode::Ok;
   if (options.Json) {
     auto details = json::parse(result.Output);
-    details["spread"] = fault.empty();
-    details["spread_fault"] = fault;
+    details["spread"] = takeOutError.empty();
+    details["spread_fault"] = takeOutError;
     details["recorded"] = recorded;
     result.Output = details.dump(2) + "\n";
     return result;
   }
   constexpr std::string_view accepted = "accepted at ";
-  const bool isNew = result.Output.compare(0, accepted.size(), accepted) == 0;
+  const bool newlyAppended =
+      result.Output.compare(0, accepted.size(), accepted) == 0;
   const auto record =
-      isNew ? "recorded at " + result.Output.substr(accepted.size())
-            : "recorded: " + result.Output;
-  const auto by = toString(*options.Admin);
-  result.Output = (fault.empty() ? "spread now by " + by
-                                 : "not spread by " + by + ": " + fault) +
+      newlyAppended ? "recorded at " + result.Output.substr(accepted.size())
+                    : "recorded: " + result.Output;
+  const auto adminAddress = toString(*options.Admin);
+  result.Output = (takeOutError.empty() ? "spread now by " + adminAddress
+                                        : "not spread by " + adminAddress +
+                                              ": " + takeOutError) +
                   "\n" + (recorded ? record : "recorded not yet\n");
   return result;
 }
--- a/src/daemon/operator_commands.cpp
+++ b/src/daemon/operator_commands.cpp
@@ -11,7 +11,7 @@
 namespace chivefold {
 namespace {
 
-/** Everything that the flags can set. */
+/** Values of all flags and arguments. The subcommands share them. */
 struct Flags {
   std::string File;
   std::string DataCentre;
@@ -25,14 +25,14 @@
   bool Json = false;
 };
 
-std::string checkLogUrl(const std::string &text) {
+std::string validateLogUrl(const std::string &text) {
   constexpr std::string_view scheme = "http://";
   const bool good = text.rfind(scheme, 0) == 0 &&
                     parseAddress(std::string_view(text).substr(scheme.size()));
   return good ? "" : "expected http://IP:PORT, got '" + text + "'";
 }
 
-std::string checkAdmin(const std::string &text) {
+std::string validateAdminAddress(const std::string &text) {
   return parseAddress(text) ? "" : "expected IP:PORT, got '" + text + "'";
 }
 
@@ -51,90 +51,97 @@
   return id;
 }
 
-std::string checkRecordId(const std::string &text) {
+std::string validateRecordId(const std::string &text) {
   return parseRecordId(text)
              ? ""
              : "expected 32 hexadecimal digits, got '" + text + "'";
 }
 
-CLI::App *command(CLI::App &app, Flags &flags, const char *name,
-                  const char *help) {
+CLI::App *addSubcommand(CLI::App &app, Flags &flags, const char *name,
+                        const char *help) {
   auto *sub = app.add_subcommand(name, help);
   sub->add_flag("--json", flags.Json, "print JSON");
   sub->set_version_flag("--version", std::string(ProgramVersion));
   return sub;
 }
 
-void addLog(CLI::App *sub, Flags &flags) {
-  sub->add_option("--log-url", flags.LogUrl, "the platform's log")
+void addLogUrlOption(CLI::App *sub, Flags &flags) {
+  sub->add_option("--log-url", flags.LogUrl, "base URL of the platform's log")
       ->envname("CHIVEFOLD_LOG_URL")
       ->required()
-      ->check(checkLogUrl)
+      ->check(validateLogUrl)
       ->type_name("http://IP:PORT");
 }
 
-CLI::Option *addAdmin(CLI::App *sub, std::string &to, const char *help) {
+CLI::Option *addAdminOption(CLI::App *sub, std::string &to, const char *help) {
   return sub->add_option("--admin", to, help)
       ->envname("CHIVEFOLD_ADMIN")
-      ->check(checkAdmin)
+      ->check(validateAdminAddress)
       ->type_name("IP:PORT");
 }
 
-void addReport(CLI::App &app, Flags &flags) {
-  auto *sub = command(app, flags, "report",
-                      "show service levels, ended moves and data centres out");
+void addReportCommand(CLI::App &app, Flags &flags) {
+  auto *sub =
+      addSubcommand(app, flags, "report",
+                    "show service levels, ended moves and data centres out");
   sub->add_option("--admin", flags.Admins,
                   "admin address of a daemon; may be repeated")
       ->envname("CHIVEFOLD_ADMIN")
       ->required()
       ->allow_extra_args(false)
-      ->check(checkAdmin)
+      ->check(validateAdminAddress)
       ->type_name("IP:PORT");
   sub->add_flag("--fleet", flags.WholeFleet,
-                "also ask the members that the first daemon lists");
+                "also query the members that the first daemon lists");
   sub->add_option("--html", flags.HtmlFile, "also write an HTML page");
 }
 
 void addCommands(CLI::App &app, Flags &flags) {
-  auto *check = command(app, flags, "check", "check a configuration text");
-  check->add_option("FILE", flags.File, "the text")->required();
-  auto *diff = command(app, flags, "diff", "show what a text would change");
-  diff->add_option("FILE", flags.File, "the text")->required();
-  addLog(diff, flags);
-  auto *apply = command(app, flags, "apply", "put a text in force");
-  auto *file = apply->add_option("FILE", flags.File, "the text");
-  apply->add_option("--base", flags.Base, "version that the text was based on");
+  auto *check =
+      addSubcommand(app, flags, "check", "check a configuration file");
+  check->add_option("FILE", flags.File, "the configuration file")->required();
+  auto *diff = addSubcommand(app, flags, "diff",
+                             "show what a configuration file would change");
+  diff->add_option("FILE", flags.File, "the configuration file")->required();
+  addLogUrlOption(diff, flags);
+  auto *apply =
+      addSubcommand(app, flags, "apply", "apply a configuration file");
+  auto *file = apply->add_option("FILE", flags.File, "the configuration file");
+  apply->add_option("--base", flags.Base,
+                    "configuration version that the file is based on");
   apply
       ->add_option("--resume", flags.Resume,
-                   "ask what became of an earlier apply")
-      ->check(checkRecordId)
+                   "query the outcome of an earlier apply")
+      ->check(validateRecordId)
       ->type_name("ID")
       ->excludes(file);
-  addLog(apply, flags);
+  addLogUrlOption(apply, flags);
   for (const auto *name : {"take-out", "put-back"}) {
-    auto *sub = command(app, flags, name,
-                        std::string_view(name) == "take-out"
-                            ? "give a data centre no new work"
-                            : "give a data centre new work again");
+    auto *sub = addSubcommand(app, flags, name,
+                              std::string_view(name) == "take-out"
+                                  ? "route no new calls to a data centre"
+                                  : "route new calls to a data centre again");
     sub->add_option("DC", flags.DataCentre, "the data centre")->required();
-    addLog(sub, flags);
+    addLogUrlOption(sub, flags);
     if (std::string_view(name) == "take-out") {
-      addAdmin(sub, flags.Admin, "daemon that spreads it at once");
+      addAdminOption(
+          sub, flags.Admin,
+          "admin address of a daemon that propagates the take-out immediately");
     }
   }
   const std::pair<const char *, const char *> views[] = {
       {"status", "show a daemon's view of the fleet"},
-      {"moves", "show moves and how they ended"}};
+      {"moves", "show moves and their results"}};
   for (const auto &it : views) {
-    addAdmin(command(app, flags, it.first, it.second), flags.Admin,
-             "admin address of a daemon")
+    addAdminOption(addSubcommand(app, flags, it.first, it.second), flags.Admin,
+                   "admin address of a daemon")
         ->required();
   }
-  addReport(app, flags);
+  addReportCommand(app, flags);
 }
 
-OperatorResult badInput(const std::string &message) {
-  return {OperatorExit::BadInput, "", message};
+OperatorResult invalidInput(const std::string &message) {
+  return {OperatorExitCode::BadInput, "", message};
 }
 
 std::optional<std::string> readFile(const std::string &path) {
@@ -151,24 +158,24 @@
     return resumeApply(*parseRecordId(flags.Resume), context, options);
   }
   if (flags.File.empty()) {
-    return badInput("apply: expected FILE or --resume ID");
+    return invalidInput("apply: expected FILE or --resume ID");
   }
   const auto text = readFile(flags.File);
   if (!text) {
-    return badInput("cannot read " + flags.File);
+    return invalidInput("cannot read " + flags.File);
   }
   const auto &name = sub.get_name();
-  auto result = name == "check" ? checkText(*text, context, flags.Json)
-                : name == "diff"
-                    ? diffText(*text, context, flags.LogUrl, flags.Json)
-                    : OperatorResult();
+  auto result = name == "check" ? checkConfiguration(*text, context, flags.Json)
+                : name == "diff" ? diffConfiguration(*text, context,
+                                                     flags.LogUrl, flags.Json)
+                                 : OperatorResult();
   if (name == "apply") {
     if (sub.count("--base") != 0) {
       options.Base = Version{flags.Base};
     }
-    result = applyText(*text, context, options);
+    result = applyConfiguration(*text, context, options);
   }
-  if (result.Exit == OperatorExit::BadInput && !result.Error.empty()) {
+  if (result.Exit == OperatorExitCode::BadInput && !result.Error.empty()) {
     result.Error = flags.File + ": " + result.Error;
   }
   return result;
@@ -189,14 +196,15 @@
                           OperatorContext &context) {
   const auto &name = sub.get_name();
   if (name == "take-out" || name == "put-back") {
-    return setDataCentre(flags.DataCentre, name == "take-out", context,
-                         {flags.LogUrl, parseAddress(flags.Admin), flags.Json});
+    return setDataCentreTakenOut(
+        flags.DataCentre, name == "take-out", context,
+        {flags.LogUrl, parseAddress(flags.Admin), flags.Json});
   }
   if (name == "report") {
     return runReport(flags, context);
   }
-  // The command decides, not the flags: CLI11 also reads the environment
-  // variables of commands that were not given.
+  // Dispatch on the subcommand rather than on which flags are set: CLI11 also
+  // sets the flags of other subcommands from environment variables.
   for (const auto &it : Views) {
     if (it.first == name) {
       return showView(it.second, context, *parseAddress(flags.Admin),
@@ -219,12 +227,12 @@
     app.parse(argc, argv);
   } catch (const CLI::CallForHelp &) {
     const auto subs = app.get_subcommands();
-    return {OperatorExit::Ok,
+    return {OperatorExitCode::Ok,
             subs.empty() ? app.help() : subs.front()->help("chivefold"), ""};
   } catch (const CLI::CallForVersion &) {
-    return {OperatorExit::Ok, std::string(ProgramVersion) + "\n", ""};
+    return {OperatorExitCode::Ok, std::string(ProgramVersion) + "\n", ""};
   } catch (const CLI::ParseError &e) {
-    return badInput(e.what());
+    return invalidInput(e.what());
   }
   return runCommand(*app.get_subcommands().front(), flags, context);
 }
--- a/src/daemon/operator_log.cpp
+++ b/src/daemon/operator_log.cpp
@@ -8,35 +8,37 @@
 namespace chivefold {
 namespace {
 
-Reason logUnavailable(const std::string &why) {
-  return {ErrorCode::LogUnavailable, "the log gives no answer: " + why};
+Reason logUnavailable(const std::string &lastError) {
+  return {ErrorCode::LogUnavailable, "the log is unavailable: " + lastError};
 }
 
 } // namespace
 
-OperatorLog::OperatorLog(OperatorContext &context, std::string baseUrl)
+OperatorLogClient::OperatorLogClient(OperatorContext &context,
+                                     std::string baseUrl)
     : Context(context), BaseUrl(std::move(baseUrl)) {}
 
-Result<PlainResponse> OperatorLog::read(LogOffset from) {
+Result<BlockingHttpResponse> OperatorLogClient::read(LogOffset from) {
   const auto url = BaseUrl + "/read?from=" + std::to_string(raw(from)) +
                    "&max=" + std::to_string(LogLimits::MaxReadRecords) +
                    "&wait_ms=0";
-  std::string why;
-  for (int n = 0; n < MaxTries; ++n) {
+  std::string lastError;
+  for (int n = 0; n < MaxAttempts; ++n) {
     if (n > 0) {
-      Context.Sleep(RetryPause);
+      Context.Sleep(RetryDelay);
     }
     auto response = Context.Http.request("GET", url, "");
     if (response && (response->Status == 200 || response->Status == 410)) {
       return response;
     }
-    why = response ? "status " + std::to_string(response->Status)
-                   : response.reason().Message;
+    lastError = response ? "status " + std::to_string(response->Status)
+                         : response.reason().Message;
   }
-  return logUnavailable(why);
+  return logUnavailable(lastError);
 }
 
-Status OperatorLog::applyBatch(const PlainResponse &response, LogOffset from) {
+Status OperatorLogClient::applyBatch(const BlockingHttpResponse &response,
+                                     LogOffset from) {
   const auto entries = parseLogEntries(response.Body, from);
   if (!entries) {
     return entries.reason();
@@ -57,7 +59,7 @@
   return Done{};
 }
 
-Status OperatorLog::recoverTrimmed(LogOffset first) {
+Status OperatorLogClient::restoreFromSnapshot(LogOffset first) {
   SnapshotScan scan(first);
   for (bool more = true; more;) {
     const auto response = read(scan.next());
@@ -65,7 +67,7 @@
       return response.reason();
     }
     if (response->Status == 410) {
-      // Records were trimmed during the scan; readToTail() scans again.
+      // Records were trimmed during the scan. readToTail() starts a new one.
       return Done{};
     }
     const auto entries = parseLogEntries(response->Body, scan.next());
@@ -78,14 +80,15 @@
   if (!state) {
     return state.reason();
   }
-  // A version never goes backwards.
+  // Never replace the state by an older one, so that the configuration version
+  // cannot go backwards.
   if (state->applied() > State.applied()) {
     State = std::move(*state);
   }
   return Done{};
 }
 
-Status OperatorLog::readToTail() {
+Status OperatorLogClient::readToTail() {
   int recoveries = 0;
   while (true) {
     const auto from = LogOffset{raw(State.applied()) + 1};
@@ -94,12 +97,13 @@
       return response.reason();
     }
     if (response->Status == 410) {
-      if (recoveries == MaxTries || response->LogFirst <= from) {
+      if (recoveries == MaxAttempts || response->LogFirst <= from) {
         return Reason{ErrorCode::LogTrimmed,
-                      "the log no longer retains " + std::to_string(raw(from))};
+                      "the log no longer retains offset " +
+                          std::to_string(raw(from))};
       }
       ++recoveries;
-      auto status = recoverTrimmed(response->LogFirst);
+      auto status = restoreFromSnapshot(response->LogFirst);
       if (!status) {
         return status;
       }
@@ -116,16 +120,17 @@
   }
 }
 
-Status OperatorLog::appendOne(const Record &record) {
+Status OperatorLogClient::appendOne(const Record &record) {
   const auto bytes = encodeRecord(record);
-  bool mayBeThere = false;
-  for (int n = 0; n < MaxTries; ++n) {
+  bool mayBeAppended = false;
+  for (int n = 0; n < MaxAttempts; ++n) {
     if (n > 0) {
-      Context.Sleep(RetryPause);
+      Context.Sleep(RetryDelay);
     }
-    if (mayBeThere) {
-      // The answer was lost: look for the record before it is sent again. A
-      // second copy with the same id is ignored by all readers.
+    if (mayBeAppended) {
+      // The response was lost, so look for the record before sending it again.
+      // If both copies end up in the log, readers ignore the second one, since
+      // it has the same id.
       if (!readToTail()) {
         continue;
       }
@@ -143,21 +148,22 @@
                     "the log refused the record with status " +
                         std::to_string(response->Status)};
     }
-    mayBeThere = true;
+    mayBeAppended = true;
   }
   if (readToTail() && State.verdict(record.Id)) {
     return Done{};
   }
-  // Even if the record is not found now, an append may still be on its way.
-  return Reason{ErrorCode::OutcomeUnknown, "the log gives no answer"};
+  // The record is not in the log now, but a request may still be in flight.
+  return Reason{ErrorCode::OutcomeUnknown,
+                "the log did not confirm the append"};
 }
 
-Result<Verdict> OperatorLog::append(const std::vector<Record> &records) {
+Result<Verdict> OperatorLogClient::append(const std::vector<Record> &records) {
   for (const auto &it : records) {
     const auto status = appendOne(it);
     if (!status && &it != &records.back()) {
       return Reason{ErrorCode::LogUnavailable,
-                    "not in force, the commit was not appended: " +
+                    "not in force, the commit record was not appended: " +
                         status.reason().Message};
     }
     if (!status) {
@@ -171,12 +177,12 @@
   auto verdict = find(records.back().Id);
   if (!verdict) {
     return Reason{ErrorCode::OutcomeUnknown,
-                  "the record is not in the log yet"};
+                  "the log does not contain the record yet"};
   }
   return verdict;
 }
 
-Result<Verdict> OperatorLog::find(const RecordId &id) const {
+Result<Verdict> OperatorLogClient::find(const RecordId &id) const {
   const auto verdict = State.verdict(id);
   if (!verdict) {
     return Reason{ErrorCode::NotFound, "no record " + toString(id)};
@@ -184,7 +190,7 @@
   return *verdict;
 }
 
-std::string OperatorLog::writerAt(LogOffset offset) const {
+std::string OperatorLogClient::writerAt(LogOffset offset) const {
   const auto it = Writers.find(offset);
   return it == Writers.end() ? "" : it->second;
 }
--- a/tests/unit/fleet_report_test.cpp
+++ b/tests/unit/fleet_report_test.cpp
@@ -12,26 +12,28 @@
 
 namespace {
 
-/** Daemons by URL without "http://"; others do not answer. */
-class FakeDaemons : public PlainHttp {
+/** Serves fixed bodies, keyed by URL without "http://". Requests to any other
+ * URL fail to connect. */
+class FakeDaemons : public BlockingHttpClient {
 public:
   std::map<std::string, std::string> Bodies;
   std::vector<std::string> Requests;
 
-  Result<PlainResponse> request(const std::string &method,
-                                const std::string &url,
-                                const std::string & /*body*/) override {
+  Result<BlockingHttpResponse> request(const std::string &method,
+                                       const std::string &url,
+                                       const std::string & /*body*/) override {
     Requests.push_back(method + " " + url.substr(7));
     const auto it = Bodies.find(url.substr(7));
     if (it == Bodies.end()) {
       return Reason{ErrorCode::ConnectionFailed, "refused"};
     }
-    return PlainResponse{200, it->second, {}, {}};
+    return BlockingHttpResponse{200, it->second, {}, {}};
   }
 };
 
-/** A real daemon's report: @p good calls of 1 ms and @p bad ones of 100 ms. */
-std::string reportOf(int good, int bad, const std::string &kind = "book") {
+/** @return the report of a daemon, produced by Metrics, with @p good calls of
+ * 1 ms and @p bad ones of 100 ms. */
+std::string daemonReport(int good, int bad, const std::string &kind = "book") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", kind, 0.9);
   for (int n = 0; n < good + bad; ++n) {
@@ -54,8 +56,8 @@
                           [](std::chrono::milliseconds) {}, "asha"};
 
   Fixture() {
-    Daemons.Bodies["127.0.0.1:1/-/report"] = reportOf(90, 10);
-    Daemons.Bodies["127.0.0.1:2/-/report"] = reportOf(270, 30);
+    Daemons.Bodies["127.0.0.1:1/-/report"] = daemonReport(90, 10);
+    Daemons.Bodies["127.0.0.1:2/-/report"] = daemonReport(270, 30);
     json state = {{"members",
                    {member("127.0.0.1:91", 1, "alive"),
                     member("127.0.0.1:92", 2, "alive"),
@@ -87,13 +89,13 @@
 
 } // namespace
 
-// Guards against merged figures that are averages of rates or quantiles, and
-// against a daemon that is counted twice or left out in silence.
+// Guards against aggregating by averaging rates or quantiles instead of adding
+// counts, and against counting a daemon twice or omitting one without notice.
 TEST_CASE("report adds up the whole fleet", "[report]") {
   Fixture f;
   const auto result = f.run({"report", "--admin", "127.0.0.1:1", "--admin",
                              "127.0.0.1:1", "--fleet", "--json"});
-  REQUIRE(result.Exit == OperatorExit::Ok);
+  REQUIRE(result.Exit == OperatorExitCode::Ok);
   const auto out = json::parse(result.Output);
   CHECK(out["answered"] == 2);
   CHECK(out["failed"].size() == 2);
@@ -113,16 +115,16 @@
   CHECK(out["data_centres_out"] == json{"east"});
 }
 
-// Guards against a text form without the figures or the gaps, and against a
-// page that runs what a name contains.
+// Guards against text output that lacks metrics or failed daemons, and against
+// HTML injection through names.
 TEST_CASE("report prints text and an escaped page", "[report]") {
   Fixture f;
-  f.Daemons.Bodies["127.0.0.1:2/-/report"] = reportOf(1, 0, "<script>\n'");
+  f.Daemons.Bodies["127.0.0.1:2/-/report"] = daemonReport(1, 0, "<script>\n'");
   const std::string path = "fleet_report_test.html";
   const auto result =
       f.run({"report", "--admin", "127.0.0.1:1", "--admin", "127.0.0.1:2",
              "--admin", "127.0.0.1:3", "--html", path.c_str()});
-  REQUIRE(result.Exit == OperatorExit::Ok);
+  REQUIRE(result.Exit == OperatorExitCode::Ok);
   for (const auto *part :
        {"2 daemons answered, 1 did not", "no answer from 127.0.0.1:3: refused",
         "book", "100%", "180 of 200", "taken-back", "noon", "east",
@@ -139,9 +141,10 @@
   CHECK_THAT(page.str(), Catch::Contains("<svg"));
 }
 
-// Guards against a faulty answer that is added in part or taken as no calls.
+// Guards against adding part of an invalid response, or treating it as a report
+// without calls.
 TEST_CASE("faulty answers are counted as failed", "[report]") {
-  const std::string good = reportOf(90, 10);
+  const std::string good = daemonReport(90, 10);
   auto negative = json::parse(good);
   negative["series"].push_back(negative["series"][0]);
   negative["series"][1]["answered"] = -1;
@@ -160,11 +163,11 @@
     CHECK(report->Series.at({"desk", "book"}).Answered == 90);
     f.Daemons.Bodies.erase("127.0.0.1:1/-/report");
     CHECK(f.run({"report", "--admin", "127.0.0.1:2"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
   }
 }
 
-// Guards against a report that asks without bound in a large fleet.
+// Guards against an unbounded number of requests in a large fleet.
 TEST_CASE("at most 256 daemons are asked", "[report]") {
   Fixture f;
   auto state = json::parse(f.Daemons.Bodies["127.0.0.1:1/-/state"]);
@@ -179,7 +182,8 @@
   CHECK(report->NotAsked == 44);
 }
 
-// Guards against views that show nothing or exit with 0 on a faulty answer.
+// Guards against views that omit the state, and against exit code 0 for an
+// invalid response.
 TEST_CASE("status and moves show a daemon's state", "[operator]") {
   Fixture f;
   CHECK_THAT(f.run({"status", "--admin", "127.0.0.1:1"}).Output,
@@ -191,9 +195,9 @@
     const auto asJson = f.run({view, "--admin", "127.0.0.1:1", "--json"});
     CHECK(json::parse(asJson.Output)["moves"].size() == 1);
     CHECK(f.run({view, "--admin", "127.0.0.1:2"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
     f.Daemons.Bodies["127.0.0.1:3/-/state"] = "<html>";
     CHECK(f.run({view, "--admin", "127.0.0.1:3", "--json"}).Exit ==
-          OperatorExit::Refused);
+          OperatorExitCode::Refused);
   }
 }
--- a/tests/unit/operator_test.cpp
+++ b/tests/unit/operator_test.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-enum class Fault { None, AnswerLost, RequestLost, Down };
+enum class AppendFault { None, ResponseLost, RequestLost, Down };
 
-/** A log in memory; each append takes the next fault. */
-class FakeLog : public PlainHttp {
+/** In-memory log. Each append consumes the next entry of Faults. */
+class FakeLog : public BlockingHttpClient {
 public:
   std::vector<std::string> Records;
-  std::deque<Fault> Faults;
-  /** Appended by a rival just before the next append. */
-  std::string Rival;
+  std::deque<AppendFault> Faults;
+  /** Record of another operator, inserted just before the next append. */
+  std::string CompetingRecord;
   bool Down = false;
-  /** Requests to a daemon, and its answer to them. */
-  std::vector<std::string> Puts;
+  /** URLs of PUT requests, which go to a daemon, and the status of its
+   * responses. */
+  std::vector<std::string> PutUrls;
   int PutStatus = 200;
 
-  Result<PlainResponse> request(const std::string &method,
-                                const std::string &url,
-                                const std::string &body) override {
+  Result<BlockingHttpResponse> request(const std::string &method,
+                                       const std::string &url,
+                                       const std::string &body) override {
     if (method == "PUT") {
-      Puts.push_back(url);
-      return PlainResponse{PutStatus, "", {}, {}};
+      PutUrls.push_back(url);
+      return BlockingHttpResponse{PutStatus, "", {}, {}};
     }
     if (Down) {
       return Reason{ErrorCode::ConnectionFailed, "refused"};
@@ -35,28 +36,28 @@
   }
 
 private:
-  Result<PlainResponse> append(const std::string &body) {
-    const auto fault = Faults.empty() ? Fault::None : Faults.front();
+  Result<BlockingHttpResponse> append(const std::string &body) {
+    const auto fault = Faults.empty() ? AppendFault::None : Faults.front();
     if (!Faults.empty()) {
       Faults.pop_front();
     }
-    if (!Rival.empty()) {
-      Records.push_back(std::exchange(Rival, ""));
+    if (!CompetingRecord.empty()) {
+      Records.push_back(std::exchange(CompetingRecord, ""));
     }
-    Down = fault == Fault::Down;
-    if (fault != Fault::RequestLost && fault != Fault::Down) {
+    Down = fault == AppendFault::Down;
+    if (fault != AppendFault::RequestLost && fault != AppendFault::Down) {
       Records.push_back(body);
     }
-    if (fault != Fault::None) {
+    if (fault != AppendFault::None) {
       return Reason{ErrorCode::ConnectionFailed, "timed out"};
     }
-    return PlainResponse{200, std::to_string(Records.size()), {}, {}};
+    return BlockingHttpResponse{200, std::to_string(Records.size()), {}, {}};
   }
 
-  PlainResponse read(const std::string &url) {
+  BlockingHttpResponse read(const std::string &url) {
     const auto from = std::stoul(url.substr(url.find("from=") + 5));
-    PlainResponse response{200, "", LogOffset{Records.size() + 1},
-                           LogOffset{1}};
+    BlockingHttpResponse response{200, "", LogOffset{Records.size() + 1},
+                                  LogOffset{1}};
     for (auto n = from; n <= Records.size(); ++n) {
       const auto add = [&](std::uint64_t value, int bytes) {
         for (; bytes > 0; --bytes, value >>= 8U) {
@@ -80,15 +81,16 @@
 
   OperatorResult apply(const std::string &text,
                        std::optional<Version> base = std::nullopt) {
-    return applyText(text, Context, {"http://127.0.0.1:1", base, false});
+    return applyConfiguration(text, Context,
+                              {"http://127.0.0.1:1", base, false});
   }
 };
 
-std::string textWith(const char *centres) {
+std::string configurationWith(const char *centres) {
   return std::string("[fleet]\ndata_centres = ") + centres + "\n";
 }
 
-std::string rivalChange(Version base) {
+std::string competingChange(Version base) {
   Section s;
   s.FleetSettings = Fleet{{"z"}, {}};
   return encodeRecord({RecordId{{99}}, "bilal", ChangeRecord{base, {s}}});
@@ -96,66 +98,68 @@
 
 } // namespace
 
-// Guards against an apply that appends for a bad or an unchanged text.
+// Guards against appending a record for an invalid or unchanged configuration.
 TEST_CASE("apply appends only real changes", "[operator]") {
   Fixture f;
   const auto bad = f.apply("[fleet]\n");
-  CHECK(bad.Exit == OperatorExit::BadInput);
+  CHECK(bad.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(bad.Error, Catch::StartsWith("line 1, column 1: "));
   CHECK(f.Log.Records.empty());
-  CHECK(f.apply(textWith("['a']")).Output == "accepted at offset 1\n");
-  const auto same = f.apply(textWith("['a']"));
-  CHECK(same.Exit == OperatorExit::Ok);
+  CHECK(f.apply(configurationWith("['a']")).Output == "accepted at offset 1\n");
+  const auto same = f.apply(configurationWith("['a']"));
+  CHECK(same.Exit == OperatorExitCode::Ok);
   CHECK_THAT(same.Output, Catch::Contains("nothing was appended"));
   CHECK(f.Log.Records.size() == 1);
 }
 
-// Guards against a lost race that is reported as accepted.
+// Guards against reporting a change as accepted after another operator's change
+// to the same version came first.
 TEST_CASE("apply reports a lost race", "[operator]") {
   Fixture f;
-  f.Log.Rival = rivalChange(Version::None);
-  const auto lost = f.apply(textWith("['a']"));
-  CHECK(lost.Exit == OperatorExit::Refused);
+  f.Log.CompetingRecord = competingChange(Version::None);
+  const auto lost = f.apply(configurationWith("['a']"));
+  CHECK(lost.Exit == OperatorExitCode::Refused);
   CHECK(lost.Error == "refused, not in force: lost race to offset 1 by bilal");
-  // A stale base loses even when nothing races.
-  CHECK(f.apply(textWith("['a']"), Version::None).Exit ==
-        OperatorExit::Refused);
+  // A stale base version loses even without a concurrent change.
+  CHECK(f.apply(configurationWith("['a']"), Version::None).Exit ==
+        OperatorExitCode::Refused);
 }
 
-// Guards against a lost answer that is reported as a failure, or appended
-// twice although the record is there.
+// Guards against reporting a failure, or appending the record a second time,
+// when the append succeeded but its response was lost.
 TEST_CASE("apply resolves lost answers", "[operator]") {
   Fixture f;
-  f.Log.Faults = {Fault::AnswerLost};
-  CHECK(f.apply(textWith("['a']")).Output == "accepted at offset 1\n");
+  f.Log.Faults = {AppendFault::ResponseLost};
+  CHECK(f.apply(configurationWith("['a']")).Output == "accepted at offset 1\n");
   CHECK(f.Log.Records.size() == 1);
-  f.Log.Faults = {Fault::RequestLost};
-  CHECK(f.apply(textWith("['b']")).Output == "accepted at offset 2\n");
+  f.Log.Faults = {AppendFault::RequestLost};
+  CHECK(f.apply(configurationWith("['b']")).Output == "accepted at offset 2\n");
   CHECK(f.Log.Records.size() == 2);
 }
 
-// Guards against a guess when the log cannot be asked.
+// Guards against reporting success or failure while the outcome of an append
+// cannot be read from the log.
 TEST_CASE("apply says unknown while the log is down", "[operator]") {
   Fixture f;
-  f.Log.Faults = {Fault::Down};
-  const auto unknown = f.apply(textWith("['a']"));
-  CHECK(unknown.Exit == OperatorExit::Unknown);
+  f.Log.Faults = {AppendFault::Down};
+  const auto unknown = f.apply(configurationWith("['a']"));
+  CHECK(unknown.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(
       unknown.Error,
       Catch::Contains("apply --resume 01000000000000000000000000000000"));
   f.Log.Down = true;
-  const auto unread = f.apply(textWith("['a']"));
-  CHECK(unread.Exit == OperatorExit::Unknown);
+  const auto unread = f.apply(configurationWith("['a']"));
+  CHECK(unread.Exit == OperatorExitCode::Unknown);
   CHECK_THAT(unread.Error, Catch::Contains("nothing was appended"));
   f.Log.Down = false;
   CHECK(resumeApply(RecordId{{1}}, f.Context, {"http://x", {}, false}).Exit ==
-        OperatorExit::Unknown);
-  CHECK(f.apply(textWith("['a']")).Exit == OperatorExit::Ok);
+        OperatorExitCode::Unknown);
+  CHECK(f.apply(configurationWith("['a']")).Exit == OperatorExitCode::Ok);
   CHECK(resumeApply(RecordId{{2}}, f.Context, {"http://x", {}, false}).Output ==
         "accepted at offset 1\n");
 }
 
-// Guards against bad flags that are taken as something else.
+// Guards against accepting invalid or incomplete flags.
 TEST_CASE("operator flags are checked", "[operator]") {
   Fixture f;
   const auto exit = [&](std::vector<const char *> args) {
@@ -163,31 +167,32 @@
     return runOperator(static_cast<int>(args.size()), args.data(), f.Context)
         .Exit;
   };
-  CHECK(exit({"--version"}) == OperatorExit::Ok);
-  CHECK(exit({"apply", "--help"}) == OperatorExit::Ok);
-  CHECK(exit({}) == OperatorExit::BadInput);
-  CHECK(exit({"check", "/nonexistent"}) == OperatorExit::BadInput);
-  CHECK(exit({"status", "--admin", "localhost"}) == OperatorExit::BadInput);
+  CHECK(exit({"--version"}) == OperatorExitCode::Ok);
+  CHECK(exit({"apply", "--help"}) == OperatorExitCode::Ok);
+  CHECK(exit({}) == OperatorExitCode::BadInput);
+  CHECK(exit({"check", "/nonexistent"}) == OperatorExitCode::BadInput);
+  CHECK(exit({"status", "--admin", "localhost"}) == OperatorExitCode::BadInput);
   CHECK(exit({"apply", "--log-url", "http://127.0.0.1:1"}) ==
-        OperatorExit::BadInput);
+        OperatorExitCode::BadInput);
   CHECK(exit({"apply", "--resume", "12", "--log-url", "http://127.0.0.1:1"}) ==
-        OperatorExit::BadInput);
+        OperatorExitCode::BadInput);
 }
 
-// Guards against a take-out that waits for the log, and against output that
-// does not tell what took effect.
+// Guards against a take-out that needs the log before a daemon propagates it,
+// and against output that does not state what took effect.
 TEST_CASE("take-out says whether it is spread and recorded", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a', 'b']")).Exit == OperatorExit::Ok);
+  REQUIRE(f.apply(configurationWith("['a', 'b']")).Exit ==
+          OperatorExitCode::Ok);
   const auto set = [&](bool takenOut, bool json = false) {
-    return setDataCentre("b", takenOut, f.Context,
-                         {"http://x", Address{"127.0.0.1", 3}, json});
+    return setDataCentreTakenOut("b", takenOut, f.Context,
+                                 {"http://x", Address{"127.0.0.1", 3}, json});
   };
   f.Log.Down = true;
   const auto outage = set(true);
-  CHECK(outage.Exit == OperatorExit::Unknown);
+  CHECK(outage.Exit == OperatorExitCode::Unknown);
   CHECK(outage.Output == "spread now by 127.0.0.1:3\nrecorded not yet\n");
-  CHECK(f.Log.Puts.at(0) == "http://127.0.0.1:3/-/take-out?data_centre=b");
+  CHECK(f.Log.PutUrls.at(0) == "http://127.0.0.1:3/-/take-out?data_centre=b");
   CHECK_THAT(set(true, true).Output,
              Catch::Contains("\"spread\": true") &&
                  Catch::Contains("\"recorded\": false"));
@@ -195,24 +200,26 @@
   f.Log.PutStatus = 404;
   const auto recorded = set(true);
   INFO(recorded.Error);
-  CHECK(recorded.Exit == OperatorExit::Ok);
+  CHECK(recorded.Exit == OperatorExitCode::Ok);
   CHECK(recorded.Output ==
         "not spread by 127.0.0.1:3: status 404\nrecorded at offset 2\n");
-  const auto puts = f.Log.Puts.size();
+  const auto puts = f.Log.PutUrls.size();
   CHECK(set(false).Output == "accepted at offset 3\n");
-  CHECK(f.Log.Puts.size() == puts);
+  CHECK(f.Log.PutUrls.size() == puts);
   const auto odd =
-      setDataCentre("b&x", true, f.Context, {"http://x", {}, true});
-  CHECK(odd.Exit == OperatorExit::BadInput);
+      setDataCentreTakenOut("b&x", true, f.Context, {"http://x", {}, true});
+  CHECK(odd.Exit == OperatorExitCode::BadInput);
   CHECK_THAT(odd.Output, Catch::Contains("\"outcome\": \"bad-name\""));
 }
 
-// Guards against a diff that appends, or hides a change.
+// Guards against a diff that appends records or omits a change.
 TEST_CASE("diff shows changes and appends nothing", "[operator]") {
   Fixture f;
-  REQUIRE(f.apply(textWith("['a']")).Exit == OperatorExit::Ok);
+  REQUIRE(f.apply(configurationWith("['a']")).Exit == OperatorExitCode::Ok);
   const auto diff = [&](const char *centres, bool json) {
-    return diffText(textWith(centres), f.Context, "http://x", json).Output;
+    return diffConfiguration(configurationWith(centres), f.Context, "http://x",
+                             json)
+        .Output;
   };
   CHECK(diff("['a']", false) == "no difference\n");
   CHECK_THAT(diff("['a', 'z']", false), Catch::Contains("data centres a, z"));
