--- a/include/chivefold/mesh/attempt_age.h
+++ b/include/chivefold/mesh/attempt_age.h
@@ -20,28 +20,29 @@
  * of a route and less in repeated ones; the most frequent number of a route is
  * taken as that of a first attempt. Not thread-safe.
  */
-class AttemptAge {
+class AttemptAgeEstimator {
 public:
   /** Routes whose usual number is kept. */
   static constexpr std::size_t MaxRoutes = 4096;
   /** Numbers that are counted for a route. */
-  static constexpr std::size_t MaxCounted = 8;
+  static constexpr std::size_t MaxCounters = 8;
   /** Occurrences after which a number is trusted. */
   static constexpr std::uint32_t MinOccurrences = 10;
   /** At this count all counts of a route are halved, so that a change of the
    * clients is followed. */
-  static constexpr std::uint32_t MaxOccurrences = 400;
+  static constexpr std::uint32_t HalvingThreshold = 400;
 
   /** Notes an attempt. @param timeLeft as the client states it. @return time
    * since the first attempt; zero if it is not known. */
-  Duration note(const std::string &route, Duration timeLeft);
+  Duration recordAttempt(const std::string &route, Duration remainingTime);
 
 private:
   struct Counter {
-    std::int64_t Ms;
+    std::int64_t RemainingMs;
     std::uint32_t Count;
   };
-  static void count(std::vector<Counter> &counters, std::int64_t ms);
+  static void countOccurrence(std::vector<Counter> &counters,
+                              std::int64_t remainingMs);
 
   std::unordered_map<std::string, std::vector<Counter>> Routes;
 };
--- a/include/chivefold/sidecar/proxy_service.h
+++ b/include/chivefold/sidecar/proxy_service.h
@@ -94,7 +94,7 @@
   /** Bounded by the services of the configuration. */
   std::map<std::string, RetryTokens, std::less<>> Tokens;
   ServiceSplit Split;
-  AttemptAge Ages;
+  AttemptAgeEstimator Ages;
   Logger Lines{"proxy"};
 };
 
--- a/src/mesh/attempt_age.cpp
+++ b/src/mesh/attempt_age.cpp
@@ -6,19 +6,21 @@
 
 // Misra-Gries summary: a number that makes up more than one in MaxCounted + 1
 // of all is always among the counters.
-void AttemptAge::count(std::vector<Counter> &counters, std::int64_t ms) {
-  const auto it = std::find_if(counters.begin(), counters.end(),
-                               [ms](const Counter &c) { return c.Ms == ms; });
+void AttemptAgeEstimator::countOccurrence(std::vector<Counter> &counters,
+                                          std::int64_t remainingMs) {
+  const auto it = std::find_if(
+      counters.begin(), counters.end(),
+      [remainingMs](const Counter &c) { return c.RemainingMs == remainingMs; });
   if (it != counters.end()) {
-    if (++it->Count >= MaxOccurrences) {
+    if (++it->Count >= HalvingThreshold) {
       for (auto &c : counters) {
         c.Count /= 2;
       }
     }
     return;
   }
-  if (counters.size() < MaxCounted) {
-    counters.push_back({ms, 1});
+  if (counters.size() < MaxCounters) {
+    counters.push_back({remainingMs, 1});
     return;
   }
   for (auto &c : counters) {
@@ -29,21 +31,24 @@
                  counters.end());
 }
 
-Duration AttemptAge::note(const std::string &route, Duration timeLeft) {
+Duration AttemptAgeEstimator::recordAttempt(const std::string &route,
+                                            Duration remainingTime) {
   if (Routes.size() >= MaxRoutes && Routes.count(route) == 0) {
     return {};
   }
   using std::chrono::milliseconds;
-  const auto ms = std::chrono::duration_cast<milliseconds>(timeLeft).count();
+  const auto remainingMs =
+      std::chrono::duration_cast<milliseconds>(remainingTime).count();
   auto &counters = Routes[route];
-  count(counters, ms);
-  const auto usual = std::max_element(
+  countOccurrence(counters, remainingMs);
+  const auto mostFrequent = std::max_element(
       counters.begin(), counters.end(),
       [](const Counter &a, const Counter &b) { return a.Count < b.Count; });
-  if (usual == counters.end() || usual->Count < MinOccurrences) {
+  if (mostFrequent == counters.end() || mostFrequent->Count < MinOccurrences) {
     return {};
   }
-  return milliseconds(std::max<std::int64_t>(usual->Ms - ms, 0));
+  return milliseconds(
+      std::max<std::int64_t>(mostFrequent->RemainingMs - remainingMs, 0));
 }
 
 } // namespace chivefold
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -162,8 +162,9 @@
   if (route.TargetLatency <= Duration::zero()) {
     return TimePoint::max();
   }
-  const auto age = client.TimeLeft ? Ages.note(route.Name, *client.TimeLeft)
-                                   : Duration::zero();
+  const auto age = client.TimeLeft
+                       ? Ages.recordAttempt(route.Name, *client.TimeLeft)
+                       : Duration::zero();
   return now + route.TargetLatency - age;
 }
 
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -199,19 +199,19 @@
 // Guards against a repeated attempt that is taken for a new request, which goes
 // before others that can still be in time.
 TEST_CASE("the age of a request counts from its first attempt", "[overload]") {
-  AttemptAge ages;
+  AttemptAgeEstimator ages;
   for (int i = 0; i < 40; ++i) {
-    ages.note("r", milliseconds(1000));
-    ages.note("r", milliseconds(400 + i));
+    ages.recordAttempt("r", milliseconds(1000));
+    ages.recordAttempt("r", milliseconds(400 + i));
     // A client with more patience than the others.
     if (i % 10 == 0) {
-      ages.note("r", milliseconds(3000));
+      ages.recordAttempt("r", milliseconds(3000));
     }
   }
-  CHECK(ages.note("r", milliseconds(1000)) == Duration::zero());
-  CHECK(ages.note("r", milliseconds(700)) == milliseconds(300));
-  CHECK(ages.note("r", milliseconds(3000)) == Duration::zero());
-  CHECK(ages.note("unknown", milliseconds(300)) == Duration::zero());
+  CHECK(ages.recordAttempt("r", milliseconds(1000)) == Duration::zero());
+  CHECK(ages.recordAttempt("r", milliseconds(700)) == milliseconds(300));
+  CHECK(ages.recordAttempt("r", milliseconds(3000)) == Duration::zero());
+  CHECK(ages.recordAttempt("unknown", milliseconds(300)) == Duration::zero());
 }
 
 // Guards against a server, a version or a route that is blamed for calls that
