--- a/include/chivefold/mesh/attempt_policy.h
+++ b/include/chivefold/mesh/attempt_policy.h
@@ -35,7 +35,7 @@
 
 enum class NextStep : std::uint8_t {
   /** Choose another server. */
-  TryAgain,
+  Retry,
   /** Pass on the server's answer. */
   Deliver,
   /** Answer that the request has not run and never will. */
@@ -54,13 +54,13 @@
   bool CallRefused = false;
   RequestKind Kind = RequestKind::AtMostOnce;
   /** Servers that may have run the request so far, this attempt included. */
-  std::uint32_t Runs = 0;
-  std::uint32_t MaxRuns = 1;
+  std::uint32_t PossibleRuns = 0;
+  std::uint32_t MaxPossibleRuns = 1;
   /** Attempts of any kind so far. */
   std::uint32_t Attempts = 0;
   /** Time left, and the time that another attempt is expected to take. */
   Duration TimeLeft{};
-  Duration Expected{};
+  Duration ExpectedLatency{};
 };
 
 /**
--- a/src/mesh/attempt_policy.cpp
+++ b/src/mesh/attempt_policy.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 6> EndNames{
+constexpr std::array<std::string_view, 6> AttemptEndNames{
     "answered", "declined", "refused-by-gate", "not-sent", "lost", "no-server"};
 
 /** What to say when no attempt follows. */
@@ -18,23 +18,25 @@
     return NextStep::ReportUnknown;
   default:
     // An earlier attempt of an idempotent request may have run.
-    return facts.Runs > 0 ? NextStep::ReportUnknown : NextStep::RefuseNotRun;
+    return facts.PossibleRuns > 0 ? NextStep::ReportUnknown
+                                  : NextStep::RefuseNotRun;
   }
 }
 
-bool worthRepeating(const AttemptFacts &facts) {
+bool mayRetry(const AttemptFacts &facts) {
   if (facts.End == AttemptEnd::Answered &&
       (facts.Status < FirstServerError || facts.CallRefused)) {
     return false;
   }
-  const bool ran =
+  const bool mayHaveRun =
       facts.End == AttemptEnd::Answered || facts.End == AttemptEnd::Lost;
-  if (ran && facts.Kind == RequestKind::AtMostOnce) {
+  if (mayHaveRun && facts.Kind == RequestKind::AtMostOnce) {
     return false;
   }
-  return facts.End != AttemptEnd::NoServer && facts.Runs < facts.MaxRuns &&
+  return facts.End != AttemptEnd::NoServer &&
+         facts.PossibleRuns < facts.MaxPossibleRuns &&
          facts.Attempts < AttemptPolicy::MaxAttempts &&
-         facts.Expected < facts.TimeLeft;
+         facts.ExpectedLatency < facts.TimeLeft;
 }
 
 bool reachedServer(AttemptEnd end) {
@@ -45,18 +47,18 @@
 } // namespace
 
 std::string_view attemptEndName(AttemptEnd end) {
-  return EndNames[static_cast<std::size_t>(end)];
+  return AttemptEndNames[static_cast<std::size_t>(end)];
 }
 
 NextStep AttemptPolicy::next(const AttemptFacts &facts, RetryTokens &tokens,
                              TimePoint now) {
-  if (!worthRepeating(facts)) {
+  if (!mayRetry(facts)) {
     return finalStep(facts);
   }
   if (reachedServer(facts.End) && !tokens.take(now)) {
     return finalStep(facts);
   }
-  return NextStep::TryAgain;
+  return NextStep::Retry;
 }
 
 } // namespace chivefold
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -295,11 +295,11 @@
   facts.Status = result.Status;
   facts.CallRefused = result.CallRefused;
   facts.Kind = request->Route->Kind;
-  facts.Runs = request->Runs;
-  facts.MaxRuns = request->Route->MaxAttempts;
+  facts.PossibleRuns = request->Runs;
+  facts.MaxPossibleRuns = request->Route->MaxAttempts;
   facts.Attempts = request->Attempts;
   facts.TimeLeft = request->Deadline - now;
-  facts.Expected = Parts.Servers.expected(request->Route->Name);
+  facts.ExpectedLatency = Parts.Servers.expected(request->Route->Name);
   const auto step =
       AttemptPolicy::next(facts, tokens(request->Call.Service), now);
   if (end != AttemptEnd::Answered || step != NextStep::Deliver) {
@@ -314,9 +314,9 @@
                 {"slots", std::uint64_t{result.Gate.Limit}},
                 {"in_flight", std::uint64_t{result.Gate.InFlight}},
                 {"queued", std::uint64_t{result.Gate.Queued}},
-                {"expected_ms", toMs(facts.Expected)},
+                {"expected_ms", toMs(facts.ExpectedLatency)},
                 {"left_ms", toMs(facts.TimeLeft)},
-                {"again", step == NextStep::TryAgain ? "yes" : "no"}});
+                {"again", step == NextStep::Retry ? "yes" : "no"}});
   }
   if (end == AttemptEnd::RefusedByGate || end == AttemptEnd::NoServer) {
     request->RetryAfter =
@@ -325,7 +325,7 @@
             : std::min(request->RetryAfter, result.RetryAfter);
   }
   switch (step) {
-  case NextStep::TryAgain:
+  case NextStep::Retry:
     if (end == AttemptEnd::Answered) {
       request->ErrorAnswer = std::move(result);
     }
--- a/tests/unit/mesh_state_test.cpp
+++ b/tests/unit/mesh_state_test.cpp
@@ -108,23 +108,23 @@
   RetryTokens tokens(at(0));
   AttemptFacts facts;
   facts.Kind = RequestKind::AtMostOnce;
-  facts.MaxRuns = 2;
+  facts.MaxPossibleRuns = 2;
   facts.Attempts = 1;
   facts.TimeLeft = milliseconds(500);
-  facts.Expected = milliseconds(50);
-  facts.Runs = 1;
+  facts.ExpectedLatency = milliseconds(50);
+  facts.PossibleRuns = 1;
   facts.End = AttemptEnd::Lost;
   CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::ReportUnknown);
   facts.End = AttemptEnd::Answered;
   facts.Status = 500;
   CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::Deliver);
-  facts.Runs = 0;
+  facts.PossibleRuns = 0;
   facts.End = AttemptEnd::DeclinedByServer;
-  CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::TryAgain);
+  CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::Retry);
   facts.TimeLeft = milliseconds(10);
   CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::RefuseNotRun);
   facts.Kind = RequestKind::Idempotent;
-  facts.Runs = 1;
+  facts.PossibleRuns = 1;
   CHECK(AttemptPolicy::next(facts, tokens, at(0)) == NextStep::ReportUnknown);
 }
 
