--- a/include/chivefold/mesh/placement.h
+++ b/include/chivefold/mesh/placement.h
@@ -24,23 +24,23 @@
 struct PlacementSettings {
   /** Price of a kilobyte that crosses data centres, in parts of the worth of a
    * request of the lowest worth; between the prices of the two deployments. */
-  double RemoteKilobytePrice = 0.1;
+  double RemoteKilobyteCost = 0.1;
   /** Bytes of both messages of a call that are not its bodies. */
   double OverheadBytes = 800;
   /** Value of an answer after the target latency, relative to one in time. */
-  double LateValue = 0.4;
+  double LateAnswerValue = 0.4;
   /** How sharply the chance of an answer in time falls with the expected time:
    * the power of their ratio in the odds. */
-  double LatenessPower = 3;
+  double LatenessExponent = 3;
   /** Value lost for each target latency of expected time, so that of two
    * servers that answer in time the faster one is chosen. */
-  double SlownessPrice = 0.1;
+  double LatencyPenalty = 0.1;
   /** Value lost with a server that always fails. */
-  double ErrorPrice = 1.0;
+  double ErrorPenalty = 1.0;
   /** Value lost with a hop to another host of the data centre. */
-  double HopPrice = 0.005;
+  double RemoteHostPenalty = 0.005;
   /** Weight of the newest call in what is known of a server. */
-  double SpeedWeight = 0.15;
+  double LatencyWeight = 0.15;
   double ErrorWeight = 0.1;
   /** Time in which an old figure loses half of its weight. */
   Duration HalfLife = std::chrono::seconds(4);
@@ -68,7 +68,7 @@
   std::string Instance;
   std::string Version;
   /** Expected time until the answer. */
-  Duration Expected{};
+  Duration ExpectedLatency{};
   /** Without a choice: when one may be possible. */
   Duration RetryAfter{};
   /** Servers that could be used, for log lines. */
@@ -89,7 +89,7 @@
   static constexpr std::size_t MaxRoutes = 4096;
   static constexpr std::uint32_t LowestWorth = 1;
   /** Priorities told apart; the last one stands for all behind it. */
-  static constexpr std::size_t Urgencies = 4;
+  static constexpr std::size_t PriorityLevels = 4;
 
   /** The references outlive this object. */
   Placement(const FleetTable &fleet, const OperatorState &orders,
@@ -102,10 +102,10 @@
   PlacementChoice choose(const PlacementRequest &request, TimePoint now);
 
   /** A request was sent. Followed by exactly one of answered(), refused(),
-   * lost() and cancelled(), after notReached() if it came back unsent. */
+   * lost() and cancelled(), after notDelivered() if it came back unsent. */
   void started(const Address &peer);
   /** No server has seen the request. */
-  void notReached(const Address &peer) { countForSplit(peer, -1); }
+  void notDelivered(const Address &peer) { recordForSplit(peer, -1); }
   /** @param bytes of the request and its answer. */
   void answered(const Address &peer, const std::string &route, Duration latency,
                 std::size_t bytes, bool serverError, const GateState &gate,
@@ -118,52 +118,56 @@
   void cancelled(const Address &peer);
 
   /** @return expected time of service of a route on a usual server. */
-  Duration expected(const std::string &route) const;
+  Duration expectedLatency(const std::string &route) const;
 
   /** @return ready servers of @p service that may get requests. */
-  unsigned ableServers(const std::string &service,
-                       const std::string &version) const;
+  unsigned countReadyServers(const std::string &service,
+                             const std::string &version) const;
 
 private:
-  struct Load {
-    std::uint32_t Mine = 0;
+  struct ServerLoad {
+    std::uint32_t OwnRequests = 0;
     /** Load at the gate that others caused, as of GateAt. */
-    double Others = 0;
+    double OtherRequests = 0;
     std::uint32_t Limit = 0;
-    TimePoint GateAt{};
+    TimePoint GateStateAt{};
     /** Time of service relative to what is usual for the route. */
-    double Slowness = 1;
-    TimePoint SlownessAt{};
+    double LatencyRatio = 1;
+    TimePoint LatencyRatioAt{};
     /** Smoothed share of failed calls. */
-    double Errors = 0;
-    TimePoint ErrorsAt{};
+    double ErrorRate = 0;
+    TimePoint ErrorRateAt{};
     /** When a request of each urgency may be tried again. */
-    std::array<TimePoint, Urgencies> NotBefore{};
+    std::array<TimePoint, PriorityLevels> NotBefore{};
   };
-  struct RouteFigures {
-    double TimeUs = 0;
+  struct RouteStats {
+    double LatencyUs = 0;
     double Bytes = 0;
   };
 
-  bool takesWork(const HostEntry &entry) const;
-  std::vector<const HostState *> able(const std::vector<Address> &hosts) const;
+  bool acceptsRequests(const HostEntry &entry) const;
+  std::vector<const HostState *>
+  eligibleServers(const std::vector<Address> &hosts) const;
   bool isFull(const HostState &host, TimePoint now) const;
-  bool usable(const HostState &host, const PlacementRequest &request,
+  bool mayTry(const HostState &host, const PlacementRequest &request,
               TimePoint now) const;
   double decay(TimePoint since, TimePoint now) const;
-  double value(const HostState &host, const PlacementRequest &request,
-               TimePoint now, double &expectedUs) const;
-  double expectedTime(const HostState &host, double routeTime, TimePoint now,
-                      double &errors) const;
-  double ahead(const Load &load, TimePoint now) const;
-  Load &release(const Address &peer);
-  static void learnGate(Load &load, const GateState &gate, TimePoint now);
-  void learnError(Load &load, double weight, bool failed, TimePoint now) const;
-  bool isTurnOfTarget(const std::string &service,
-                      const VersionPolicy::Split &split) const;
-  void countForSplit(const Address &peer, int sign);
-  std::vector<Address> targetServers(const std::vector<const HostState *> &able,
-                                     const VersionPolicy::Split &split) const;
+  double expectedValue(const HostState &host, const PlacementRequest &request,
+                       TimePoint now, double &expectedUs) const;
+  double expectedLatencyUs(const HostState &host, double routeLatencyUs,
+                           TimePoint now, double &errorRate) const;
+  double outstandingRequests(const ServerLoad &load, TimePoint now) const;
+  ServerLoad &endRequest(const Address &peer);
+  static void updateGateState(ServerLoad &load, const GateState &gate,
+                              TimePoint now);
+  void updateErrorRate(ServerLoad &load, double weight, bool failed,
+                       TimePoint now) const;
+  bool isTargetTurn(const std::string &service,
+                    const VersionPolicy::Split &split) const;
+  void recordForSplit(const Address &peer, int delta);
+  std::vector<Address>
+  targetServers(const std::vector<const HostState *> &eligible,
+                const VersionPolicy::Split &split) const;
 
   const FleetTable &Fleet;
   const OperatorState &Orders;
@@ -174,11 +178,11 @@
   PlacementSettings Settings;
   /** Hosts by service, with servers in any phase. */
   std::unordered_map<std::string, std::vector<Address>> ByService;
-  std::unordered_map<Address, Load> Loads;
-  std::unordered_map<std::string, RouteFigures> Routes;
+  std::unordered_map<Address, ServerLoad> Loads;
+  std::unordered_map<std::string, RouteStats> Routes;
   /** What servers of each service got during its rollout: the sum of the
    * target's shares less FullShare for each request at the target. */
-  std::unordered_map<std::string, std::int64_t> SplitTurns;
+  std::unordered_map<std::string, std::int64_t> SplitBalances;
 };
 
 } // namespace chivefold
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -261,7 +261,7 @@
   const auto now = Loop.now();
   auto &servers = Parts.Servers;
   if (end == AttemptEnd::RefusedByGate || end == AttemptEnd::NotSent) {
-    servers.notReached(request.Peer);
+    servers.notDelivered(request.Peer);
   }
   switch (end) {
   case AttemptEnd::Answered:
@@ -299,7 +299,7 @@
   facts.MaxPossibleRuns = request->Route->MaxAttempts;
   facts.Attempts = request->Attempts;
   facts.TimeLeft = request->Deadline - now;
-  facts.ExpectedLatency = Parts.Servers.expected(request->Route->Name);
+  facts.ExpectedLatency = Parts.Servers.expectedLatency(request->Route->Name);
   const auto step =
       AttemptPolicy::next(facts, tokens(request->Call.Service), now);
   if (end != AttemptEnd::Answered || step != NextStep::Deliver) {
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -234,7 +234,7 @@
   view.TimeAllowed = order.TimeAllowed;
   view.ShareBasisPoints = progress.ShareBasisPoints;
   view.AbleServers =
-      Parts.Servers.ableServers(order.Service, order.TargetVersion);
+      Parts.Servers.countReadyServers(order.Service, order.TargetVersion);
   KindSums oldSums;
   KindSums newSums;
   for (const auto &it : drive.Hosts) {
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -162,7 +162,7 @@
     const bool isTarget = choice.Version == "v2";
     f.Servers.started(*choice.Peer);
     if (!isTarget && i % 3 != 0) {
-      f.Servers.notReached(*choice.Peer);
+      f.Servers.notDelivered(*choice.Peer);
     } else {
       ++reached;
       atTarget += isTarget ? 1 : 0;
