--- a/include/chivefold/mesh/refused_calls.h
+++ b/include/chivefold/mesh/refused_calls.h
@@ -24,42 +24,42 @@
  * right after such a refusal, while refusals of clients and errors of the
  * server meet by chance only. Not thread-safe.
  */
-class RefusedCalls {
+class RefusedCallTracker {
 public:
   /** Longest time from the refusal of a call to the error that it causes; the
    * server is on the same host, and is answered at once. */
-  static constexpr Duration MaxDelay = std::chrono::milliseconds(6);
+  static constexpr Duration MaxErrorDelay = std::chrono::milliseconds(6);
   /** Refusals of a route that must have met an error, and their part of all,
    * before it counts as one that the server calls. */
   static constexpr std::uint32_t MinMatches = 4;
-  static constexpr double MinMatchedPart = 0.5;
+  static constexpr double MinMatchRatio = 0.5;
   /** Refusals after which the counts of a route are halved. */
-  static constexpr std::uint32_t MaxRefusals = 200;
+  static constexpr std::uint32_t HalvingThreshold = 200;
   /** Routes whose refusals are counted. */
   static constexpr std::size_t MaxRoutes = 4096;
 
   /** A request of this host was not answered. */
-  void note(const std::string &route, TimePoint now);
+  void recordRefusal(const std::string &route, TimePoint now);
   /** The server answered with an error. @return whether a refused call is the
    * cause; each refusal explains one error. */
-  bool explains(TimePoint now);
+  bool matchError(TimePoint now);
   /** @return whether the server makes the requests of that route. */
-  bool isCall(const std::string &route) const;
+  bool isOutboundRoute(const std::string &route) const;
 
 private:
-  struct Counts {
+  struct RouteCounts {
     std::uint32_t Refusals = 0;
     std::uint32_t Matches = 0;
-    double part() const;
+    double matchRatio() const;
   };
   struct Refusal {
     std::string Route;
     TimePoint At;
   };
 
-  std::unordered_map<std::string, Counts> Routes;
+  std::unordered_map<std::string, RouteCounts> Routes;
   /** Refusals that no error has met so far. */
-  std::deque<Refusal> Recent;
+  std::deque<Refusal> UnmatchedRefusals;
 };
 
 } // namespace chivefold
--- a/include/chivefold/sidecar/backend_service.h
+++ b/include/chivefold/sidecar/backend_service.h
@@ -107,7 +107,7 @@
 
   /** Takes note of requests of this host that were not answered, some of which
    * the server made. */
-  RefusedCalls &refusedCalls() { return Refused; }
+  RefusedCallTracker &refusedCalls() { return Refused; }
 
   const BackendServerState &server() const { return Server; }
   GateState gate() const { return Gate.state(Loop.now()); }
@@ -189,7 +189,7 @@
   std::uint64_t NextCall = 0;
   TimerId Timer = TimerId::None;
   TimePoint TimerAt{};
-  RefusedCalls Refused;
+  RefusedCallTracker Refused;
   /** Requests whose connections broke since the server last answered. */
   std::vector<RequestDigest> Interrupted;
   TimePoint InterruptedAt{};
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -277,7 +277,7 @@
   auto result = resultOf(it->second, outcome);
   result.CallRefused = result.Result == Outcome::Answered &&
                        result.Status >= FirstServerError &&
-                       Refused.explains(Loop.now());
+                       Refused.matchError(Loop.now());
   count(it->second, result, latency);
   noteInterruption(it->second, result);
   const bool answered = result.Result == Outcome::Answered;
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -429,7 +429,7 @@
   sample.Latency = held;
   Parts.Figures.record(now, sample);
   if (outcome != Outcome::Answered) {
-    Parts.Backend.refusedCalls().note(request->Route->Name, now);
+    Parts.Backend.refusedCalls().recordRefusal(request->Route->Name, now);
     Lines.info("request failed",
                {{"request", request->Call.RequestId},
                 {"route", request->Route->Name},
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -217,20 +217,20 @@
 // Guards against a server, a version or a route that is blamed for calls that
 // another service refused, and against a real fault that is excused.
 TEST_CASE("errors after refused calls are told from others", "[overload]") {
-  RefusedCalls calls;
+  RefusedCallTracker calls;
   int explained = 0;
   for (std::int64_t i = 0; i < 100; ++i) {
     const auto ms = i * 50;
     // A client is refused; then a call, and the server fails.
-    calls.note("client", at(ms));
-    calls.note("call", at(ms + 20));
-    explained += calls.explains(at(ms + 22)) ? 1 : 0;
+    calls.recordRefusal("client", at(ms));
+    calls.recordRefusal("call", at(ms + 20));
+    explained += calls.matchError(at(ms + 22)) ? 1 : 0;
     // An error of the server's own.
-    CHECK_FALSE(calls.explains(at(ms + 40)));
+    CHECK_FALSE(calls.matchError(at(ms + 40)));
   }
   CHECK(explained > 90);
-  CHECK(calls.isCall("call"));
-  CHECK_FALSE(calls.isCall("client"));
+  CHECK(calls.isOutboundRoute("call"));
+  CHECK_FALSE(calls.isOutboundRoute("client"));
 }
 
 // Guards against requests that wait although they will be late: clients that
