--- a/include/chivefold/mesh/service_split.h
+++ b/include/chivefold/mesh/service_split.h
@@ -28,7 +28,7 @@
 
 private:
   /** Running weights by route and service. */
-  std::map<std::string, std::map<std::string, std::int64_t>> Weights;
+  std::map<std::string, std::map<std::string, std::int64_t>> CurrentWeights;
 };
 
 } // namespace chivefold
--- a/src/mesh/service_split.cpp
+++ b/src/mesh/service_split.cpp
@@ -3,24 +3,25 @@
 namespace chivefold {
 
 std::string ServiceSplit::choose(const MeshRoute &route) {
-  if (route.Services.size() == 1 || Weights.size() >= MaxRoutes) {
+  if (route.Services.size() == 1 || CurrentWeights.size() >= MaxRoutes) {
     return route.Services.front().Service;
   }
-  auto &running = Weights[route.Name];
-  std::int64_t total = 0;
+  auto &currentWeights = CurrentWeights[route.Name];
+  std::int64_t totalWeight = 0;
   const WeightedService *best = nullptr;
-  for (const auto &it : route.Services) {
-    total += it.Weight;
-    auto &value = running[it.Service];
-    value += it.Weight;
-    if (it.Weight > 0 && (best == nullptr || value > running[best->Service])) {
-      best = &it;
+  for (const auto &candidate : route.Services) {
+    totalWeight += candidate.Weight;
+    auto &currentWeight = currentWeights[candidate.Service];
+    currentWeight += candidate.Weight;
+    if (candidate.Weight > 0 &&
+        (best == nullptr || currentWeight > currentWeights[best->Service])) {
+      best = &candidate;
     }
   }
   if (best == nullptr) {
     return route.Services.front().Service;
   }
-  running[best->Service] -= total;
+  currentWeights[best->Service] -= totalWeight;
   return best->Service;
 }
 
