--- a/include/chivefold/mesh/slot_gate.h
+++ b/include/chivefold/mesh/slot_gate.h
@@ -20,7 +20,7 @@
 namespace chivefold {
 
 /** A request at the gate. */
-struct SlotWork {
+struct SlotRequest {
   GateRequestId Id = GateRequestId::None;
   /** 0 is the most urgent. */
   std::uint32_t Priority = 0;
@@ -32,7 +32,7 @@
 };
 
 /** Decision on a newcomer; one that is refused was certainly not run. */
-struct SlotOffer {
+struct SlotAdmission {
   Admitted Kind = Admitted::Run;
   ErrorCode Code = ErrorCode::Ok;
   /** For Rejected: when the caller may try this server again. */
@@ -42,7 +42,7 @@
 struct SlotGateTuning {
   /** Part of a cold server's stated rate that is used; the rest covers requests
    * whose arrival is counted in the next second. */
-  double ColdPart = 0.9;
+  double ColdRateFraction = 0.9;
   /** Requests of one urgency, or of it and less urgent ones, that wait for one
    * slot at most. */
   double QueuePerSlot = 4;
@@ -52,14 +52,14 @@
   double LateQueuePerSlot = 0.5;
   /** Work is late if less than so many expected times of service are left until
    * its target; services take longer than their mean in a third of calls. */
-  double TargetMargin = 1.5;
+  double TargetMarginFactor = 1.5;
   /** Weight of the newest call in the expected time of service. */
-  double TimeWeight = 0.1;
+  double ServiceTimeWeight = 0.1;
   /** Expected time of service before the first call of a route. */
-  Duration FirstExpected = std::chrono::milliseconds(50);
+  Duration InitialServiceTime = std::chrono::milliseconds(50);
   /** Of so many starts one goes to work of another urgency that waits, so that
    * it is not starved while one class alone fills the server. */
-  std::uint32_t LessUrgentTurn = 6;
+  std::uint32_t OtherPriorityInterval = 6;
   Duration MinRetryAfter = std::chrono::milliseconds(50);
   Duration MaxRetryAfter = std::chrono::seconds(2);
 };
@@ -94,7 +94,7 @@
   /** The server bears only @p rate requests a second until @p until. */
   void setCold(double rate, TimePoint until);
 
-  SlotOffer offer(const SlotWork &work, TimePoint now);
+  SlotAdmission admit(const SlotRequest &request, TimePoint now);
 
   /** @return the waiting requests that are to run now; they count as running.
    */
@@ -113,12 +113,12 @@
 
   /** @return when start() or expire() may give something without any other
    * event. */
-  std::optional<TimePoint> nextChange(TimePoint now) const;
+  std::optional<TimePoint> nextWakeUp(TimePoint now) const;
 
   GateState state(TimePoint now) const;
 
   /** @return expected time of service of a route. */
-  Duration expected(const std::string &route) const;
+  Duration expectedServiceTime(const std::string &route) const;
 
 private:
   struct Key {
@@ -130,33 +130,33 @@
              std::tie(o.Late, o.Priority, o.Sequence);
     }
   };
-  struct Waiting {
+  struct QueuedRequest {
     GateRequestId Id;
     TimePoint Deadline;
     TimePoint InTimeUntil;
     std::string Route;
   };
-  using WaitingMap = std::map<Key, Waiting>;
+  using RequestQueue = std::map<Key, QueuedRequest>;
   /** All that will be late stands from here on. */
-  static constexpr Key FirstLate{true, 0, 0};
-
-  WaitingMap::iterator nextWaiting();
-  WaitingMap::iterator behindFirstClass();
-  bool willBeLate(TimePoint inTimeUntil, const std::string &route,
-                  TimePoint start) const;
-  void moveLate(TimePoint now);
-  WaitingMap::iterator remove(WaitingMap::iterator it,
-                              std::vector<GateRequestId> &ids);
+  static constexpr Key LateBegin{true, 0, 0};
+
+  RequestQueue::iterator selectNext();
+  RequestQueue::iterator endOfHeadClass();
+  bool wouldMissTarget(TimePoint inTimeUntil, const std::string &route,
+                       TimePoint start) const;
+  void demoteLate(TimePoint now);
+  RequestQueue::iterator removeQueued(RequestQueue::iterator it,
+                                      std::vector<GateRequestId> &ids);
   void dropExcessLate(std::vector<GateRequestId> &ids);
   bool hasRoom(const Key &key) const;
-  std::size_t startsBefore(const Key &key);
+  std::size_t startsAheadOf(const Key &key);
   bool mayStart(TimePoint now) const;
   bool isCold(TimePoint now) const { return now < ColdUntil; }
-  std::size_t coldAllowance() const;
-  void forgetOldStarts(TimePoint now);
-  void begin(GateRequestId id, const std::string &route, TimePoint now);
-  Duration expectedWait(std::size_t ahead, TimePoint now) const;
-  SlotOffer refuse(ErrorCode code, Duration wait) const;
+  std::size_t maxColdStarts() const;
+  void dropOldStarts(TimePoint now);
+  void markRunning(GateRequestId id, const std::string &route, TimePoint now);
+  Duration expectedWait(std::size_t queuedAhead, TimePoint now) const;
+  SlotAdmission refuse(ErrorCode code, Duration wait) const;
 
   SlotGateTuning Tuning;
   bool Open = false;
@@ -165,15 +165,15 @@
   TimePoint ColdUntil{};
   std::uint64_t NextSequence = 0;
   /** Starts of urgent work since less urgent work had its turn. */
-  std::uint32_t UrgentStarts = 0;
-  WaitingMap Queue;
+  std::uint32_t HeadClassStarts = 0;
+  RequestQueue Queue;
   std::unordered_map<GateRequestId, Key> QueuedIds;
   /** Route of each running request; bounded by Limit. */
   std::unordered_map<GateRequestId, std::string> Running;
   /** Starts of the last second, for the rate of a cold server. */
-  std::deque<TimePoint> Starts;
-  std::unordered_map<std::string, double> RouteTimes;
-  double MeanTime = 0;
+  std::deque<TimePoint> RecentStarts;
+  std::unordered_map<std::string, double> RouteServiceTimes;
+  double MeanServiceTime = 0;
 };
 
 } // namespace chivefold
--- a/src/mesh/slot_gate.cpp
+++ b/src/mesh/slot_gate.cpp
@@ -15,7 +15,7 @@
 
 SlotGate::SlotGate(const SlotGateTuning &tuning)
     : Tuning(tuning),
-      MeanTime(static_cast<double>(Tuning.FirstExpected.count())) {}
+      MeanServiceTime(static_cast<double>(Tuning.InitialServiceTime.count())) {}
 
 void SlotGate::open(std::uint32_t slots, std::uint32_t connections) {
   Open = true;
@@ -41,14 +41,14 @@
   ColdUntil = until;
 }
 
-std::size_t SlotGate::coldAllowance() const {
+std::size_t SlotGate::maxColdStarts() const {
   return static_cast<std::size_t>(
-      std::max(1.0, std::floor(ColdRate * Tuning.ColdPart)));
+      std::max(1.0, std::floor(ColdRate * Tuning.ColdRateFraction)));
 }
 
-void SlotGate::forgetOldStarts(TimePoint now) {
-  while (!Starts.empty() && Starts.front() + ColdWindow <= now) {
-    Starts.pop_front();
+void SlotGate::dropOldStarts(TimePoint now) {
+  while (!RecentStarts.empty() && RecentStarts.front() + ColdWindow <= now) {
+    RecentStarts.pop_front();
   }
 }
 
@@ -60,105 +60,108 @@
     return true;
   }
   const auto recent =
-      std::count_if(Starts.begin(), Starts.end(),
+      std::count_if(RecentStarts.begin(), RecentStarts.end(),
                     [now](TimePoint it) { return it + ColdWindow > now; });
-  return static_cast<std::size_t>(recent) < coldAllowance();
+  return static_cast<std::size_t>(recent) < maxColdStarts();
 }
 
-Duration SlotGate::expected(const std::string &route) const {
-  const auto it = RouteTimes.find(route);
+Duration SlotGate::expectedServiceTime(const std::string &route) const {
+  const auto it = RouteServiceTimes.find(route);
   return Duration(static_cast<std::int64_t>(
-      it == RouteTimes.end() ? MeanTime : it->second));
+      it == RouteServiceTimes.end() ? MeanServiceTime : it->second));
 }
 
 // Time until a slot is free for a request with that many before it.
-Duration SlotGate::expectedWait(std::size_t ahead, TimePoint now) const {
-  if (mayStart(now) && ahead == 0) {
+Duration SlotGate::expectedWait(std::size_t queuedAhead, TimePoint now) const {
+  if (mayStart(now) && queuedAhead == 0) {
     return Duration::zero();
   }
-  double rate = Limit / std::max(MeanTime, 1000.0); // A microsecond.
+  double startsPerUs =
+      Limit / std::max(MeanServiceTime, 1000.0); // A microsecond.
   if (isCold(now) && ColdRate > 0) {
-    rate = std::min(rate, ColdRate * Tuning.ColdPart / 1e6);
+    startsPerUs =
+        std::min(startsPerUs, ColdRate * Tuning.ColdRateFraction / 1e6);
   }
-  return Duration(
-      static_cast<std::int64_t>(static_cast<double>(ahead + 1) / rate));
+  return Duration(static_cast<std::int64_t>(
+      static_cast<double>(queuedAhead + 1) / startsPerUs));
 }
 
-SlotOffer SlotGate::refuse(ErrorCode code, Duration wait) const {
+SlotAdmission SlotGate::refuse(ErrorCode code, Duration wait) const {
   return {Admitted::Rejected, code,
           std::clamp(wait, Tuning.MinRetryAfter, Tuning.MaxRetryAfter)};
 }
 
 // The first entry that is less urgent than the first one, or will be late.
-SlotGate::WaitingMap::iterator SlotGate::behindFirstClass() {
+SlotGate::RequestQueue::iterator SlotGate::endOfHeadClass() {
   const auto &first = Queue.begin()->first;
   return Queue.lower_bound(Key{first.Late, first.Priority + 1, 0});
 }
 
 // Starts before a newcomer's: those of all work that goes before it or, by the
 // turns of less urgent work, those of the less urgent work alone.
-std::size_t SlotGate::startsBefore(const Key &key) {
-  const auto count = [](auto from, auto to) {
-    return static_cast<std::size_t>(std::distance(from, to));
+std::size_t SlotGate::startsAheadOf(const Key &key) {
+  const auto count = [](auto first, auto last) {
+    return static_cast<std::size_t>(std::distance(first, last));
   };
-  const auto inOrder = count(Queue.begin(), Queue.lower_bound(key));
+  const auto byOrder = count(Queue.begin(), Queue.lower_bound(key));
   if (Queue.empty() || (key.Late == Queue.begin()->first.Late &&
                         key.Priority == Queue.begin()->first.Priority)) {
-    return inOrder;
+    return byOrder;
   }
-  const auto inTurn =
-      (count(behindFirstClass(), Queue.end()) + 1) * Tuning.LessUrgentTurn;
-  return std::min(inOrder, inTurn);
+  const auto byInterval =
+      (count(endOfHeadClass(), Queue.end()) + 1) * Tuning.OtherPriorityInterval;
+  return std::min(byOrder, byInterval);
 }
 
-bool SlotGate::willBeLate(TimePoint inTimeUntil, const std::string &route,
-                          TimePoint start) const {
+bool SlotGate::wouldMissTarget(TimePoint inTimeUntil, const std::string &route,
+                               TimePoint start) const {
   if (inTimeUntil == TimePoint::max()) {
     return false;
   }
-  const auto needed =
-      Tuning.TargetMargin * static_cast<double>(expected(route).count());
+  const auto needed = Tuning.TargetMarginFactor *
+                      static_cast<double>(expectedServiceTime(route).count());
   return start + Duration(static_cast<std::int64_t>(needed)) > inTimeUntil;
 }
 
 // More urgent work does not fill the queue of the rest, and work that will be
 // late not that of work in time.
 bool SlotGate::hasRoom(const Key &key) const {
-  const auto from = Queue.lower_bound(Key{key.Late, key.Priority, 0});
-  const auto to = key.Late ? Queue.end() : Queue.lower_bound(FirstLate);
+  const auto first = Queue.lower_bound(Key{key.Late, key.Priority, 0});
+  const auto last = key.Late ? Queue.end() : Queue.lower_bound(LateBegin);
   const auto perSlot = key.Late ? Tuning.LateQueuePerSlot : Tuning.QueuePerSlot;
-  return static_cast<double>(std::distance(from, to)) < Limit * perSlot;
+  return static_cast<double>(std::distance(first, last)) < Limit * perSlot;
 }
 
-SlotOffer SlotGate::offer(const SlotWork &work, TimePoint now) {
+SlotAdmission SlotGate::admit(const SlotRequest &request, TimePoint now) {
   if (!Open) {
     return refuse(ErrorCode::NotReady, Tuning.MaxRetryAfter);
   }
   if (Queue.empty() && mayStart(now)) {
-    begin(work.Id, work.Route, now);
+    markRunning(request.Id, request.Route, now);
     return {};
   }
-  moveLate(now);
-  Key key{false, work.Priority, ++NextSequence};
-  auto wait = expectedWait(startsBefore(key), now);
-  if (willBeLate(work.InTimeUntil, work.Route, now + wait)) {
+  demoteLate(now);
+  Key key{false, request.Priority, ++NextSequence};
+  auto wait = expectedWait(startsAheadOf(key), now);
+  if (wouldMissTarget(request.InTimeUntil, request.Route, now + wait)) {
     key.Late = true;
-    wait = expectedWait(startsBefore(key), now);
+    wait = expectedWait(startsAheadOf(key), now);
   }
-  if (now + wait + expected(work.Route) > work.Deadline || !hasRoom(key)) {
+  if (now + wait + expectedServiceTime(request.Route) > request.Deadline ||
+      !hasRoom(key)) {
     return refuse(ErrorCode::Overloaded, wait);
   }
-  Queue.emplace(key,
-                Waiting{work.Id, work.Deadline, work.InTimeUntil, work.Route});
-  QueuedIds.emplace(work.Id, key);
+  Queue.emplace(key, QueuedRequest{request.Id, request.Deadline,
+                                   request.InTimeUntil, request.Route});
+  QueuedIds.emplace(request.Id, key);
   return {Admitted::Queued, ErrorCode::Ok, {}};
 }
 
 // Puts what can no longer be answered by its target behind the rest.
-void SlotGate::moveLate(TimePoint now) {
+void SlotGate::demoteLate(TimePoint now) {
   for (auto it = Queue.begin(); it != Queue.end() && !it->first.Late;) {
     const auto next = std::next(it);
-    if (willBeLate(it->second.InTimeUntil, it->second.Route, now)) {
+    if (wouldMissTarget(it->second.InTimeUntil, it->second.Route, now)) {
       auto node = Queue.extract(it);
       node.key().Late = true;
       QueuedIds[node.mapped().Id] = node.key();
@@ -168,42 +171,43 @@
   }
 }
 
-void SlotGate::begin(GateRequestId id, const std::string &route,
-                     TimePoint now) {
+void SlotGate::markRunning(GateRequestId id, const std::string &route,
+                           TimePoint now) {
   Running.emplace(id, route);
-  forgetOldStarts(now);
-  Starts.push_back(now);
+  dropOldStarts(now);
+  RecentStarts.push_back(now);
 }
 
 // Precondition: something waits.
-SlotGate::WaitingMap::iterator SlotGate::nextWaiting() {
-  const auto first = Queue.begin();
+SlotGate::RequestQueue::iterator SlotGate::selectNext() {
+  const auto head = Queue.begin();
   // The next one of another urgency, which would be starved while the first
   // class alone fills the server.
   auto other = Queue.end();
-  for (auto it = behindFirstClass(); it != Queue.end(); ++it) {
+  for (auto it = endOfHeadClass(); it != Queue.end(); ++it) {
     // In the turn of other work, too, what can be in time goes first.
-    const bool better =
+    const bool goesEarlier =
         other == Queue.end() || (it->first.Late == other->first.Late &&
                                  it->first.Sequence < other->first.Sequence);
-    if (it->first.Priority != first->first.Priority && better) {
+    if (it->first.Priority != head->first.Priority && goesEarlier) {
       other = it;
     }
   }
   if (other == Queue.end()) {
-    UrgentStarts = 0;
-    return first;
+    HeadClassStarts = 0;
+    return head;
   }
-  if (++UrgentStarts < Tuning.LessUrgentTurn) {
-    return first;
+  if (++HeadClassStarts < Tuning.OtherPriorityInterval) {
+    return head;
   }
-  UrgentStarts = 0;
+  HeadClassStarts = 0;
   return other;
 }
 
 // Takes an entry out of the queue.
-SlotGate::WaitingMap::iterator
-SlotGate::remove(WaitingMap::iterator it, std::vector<GateRequestId> &ids) {
+SlotGate::RequestQueue::iterator
+SlotGate::removeQueued(RequestQueue::iterator it,
+                       std::vector<GateRequestId> &ids) {
   ids.push_back(it->second.Id);
   QueuedIds.erase(it->second.Id);
   return Queue.erase(it);
@@ -211,22 +215,22 @@
 
 std::vector<GateRequestId> SlotGate::start(TimePoint now) {
   std::vector<GateRequestId> ids;
-  moveLate(now);
+  demoteLate(now);
   while (!Queue.empty() && mayStart(now)) {
-    const auto first = nextWaiting();
-    begin(first->second.Id, first->second.Route, now);
-    remove(first, ids);
+    const auto next = selectNext();
+    markRunning(next->second.Id, next->second.Route, now);
+    removeQueued(next, ids);
   }
   return ids;
 }
 
 std::vector<GateRequestId> SlotGate::expire(TimePoint now) {
   std::vector<GateRequestId> ids;
-  moveLate(now);
+  demoteLate(now);
   for (auto it = Queue.begin(); it != Queue.end();) {
-    const bool hopeless =
-        now + expected(it->second.Route) > it->second.Deadline;
-    it = hopeless ? remove(it, ids) : std::next(it);
+    const bool cannotFinish =
+        now + expectedServiceTime(it->second.Route) > it->second.Deadline;
+    it = cannotFinish ? removeQueued(it, ids) : std::next(it);
   }
   dropExcessLate(ids);
   return ids;
@@ -234,11 +238,11 @@
 
 // Late work beyond its bound would mostly wait until its deadline in vain.
 void SlotGate::dropExcessLate(std::vector<GateRequestId> &ids) {
-  const auto first = Queue.lower_bound(FirstLate);
+  const auto first = Queue.lower_bound(LateBegin);
   const auto bound =
       static_cast<std::ptrdiff_t>(std::ceil(Limit * Tuning.LateQueuePerSlot));
   for (auto n = std::distance(first, Queue.end()); n > bound; --n) {
-    remove(std::prev(Queue.end()), ids);
+    removeQueued(std::prev(Queue.end()), ids);
   }
 }
 
@@ -249,10 +253,11 @@
   }
   if (latency) {
     const auto us = static_cast<double>(latency->count());
-    MeanTime += Tuning.TimeWeight * (us - MeanTime);
-    if (RouteTimes.size() < MaxRoutes || RouteTimes.count(it->second) > 0) {
-      auto &time = RouteTimes.emplace(it->second, us).first->second;
-      time += Tuning.TimeWeight * (us - time);
+    MeanServiceTime += Tuning.ServiceTimeWeight * (us - MeanServiceTime);
+    if (RouteServiceTimes.size() < MaxRoutes ||
+        RouteServiceTimes.count(it->second) > 0) {
+      auto &time = RouteServiceTimes.emplace(it->second, us).first->second;
+      time += Tuning.ServiceTimeWeight * (us - time);
     }
   }
   Running.erase(it);
@@ -268,16 +273,17 @@
   return true;
 }
 
-std::optional<TimePoint> SlotGate::nextChange(TimePoint now) const {
+std::optional<TimePoint> SlotGate::nextWakeUp(TimePoint now) const {
   if (Queue.empty()) {
     return std::nullopt;
   }
   auto next = TimePoint::max();
   for (const auto &it : Queue) {
-    next = std::min(next, it.second.Deadline - expected(it.second.Route));
+    next = std::min(next,
+                    it.second.Deadline - expectedServiceTime(it.second.Route));
   }
-  if (isCold(now) && !Starts.empty()) {
-    const auto freed = std::max(Starts.front() + ColdWindow, now);
+  if (isCold(now) && !RecentStarts.empty()) {
+    const auto freed = std::max(RecentStarts.front() + ColdWindow, now);
     next = std::min(next, std::min(freed, ColdUntil));
   }
   // A turn of the loop later at the earliest, so that a late timer cannot spin.
@@ -293,9 +299,11 @@
   out.Leaving = !Open;
   if (out.Cold && ColdRate > 0 && Open) {
     // What a cold server can have in progress at its rate.
-    const auto bears = ColdRate * Tuning.ColdPart * MeanTime / 1e6;
-    out.Limit = std::clamp(static_cast<std::uint32_t>(std::lround(bears)), 1U,
-                           std::max(Limit, 1U));
+    const auto coldConcurrency =
+        ColdRate * Tuning.ColdRateFraction * MeanServiceTime / 1e6;
+    out.Limit =
+        std::clamp(static_cast<std::uint32_t>(std::lround(coldConcurrency)), 1U,
+                   std::max(Limit, 1U));
   }
   return out;
 }
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -188,7 +188,7 @@
     return id;
   }
   const auto offer =
-      Gate.offer({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
+      Gate.admit({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
                  Loop.now());
   if (offer.Kind == Admitted::Rejected) {
     refuse(reply, offer.Code, offer.RetryAfter);
@@ -421,7 +421,7 @@
 }
 
 void BackendService::armTimer() {
-  const auto next = Gate.nextChange(Loop.now());
+  const auto next = Gate.nextWakeUp(Loop.now());
   if (!next) {
     return;
   }
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -49,10 +49,10 @@
     return play(
         [&](std::uint64_t id, const Request &r, std::int64_t ms) {
           const auto &kind = Played.Kinds[r.Kind];
-          const SlotWork work{
+          const SlotRequest request{
               GateRequestId{id}, kind.Priority, at(ms + kind.DeadlineMs),
               "r" + std::to_string(r.Kind), at(ms + kind.TargetMs)};
-          return gate.offer(work, at(ms)).Kind == Admitted::Run;
+          return gate.admit(request, at(ms)).Kind == Admitted::Run;
         },
         [&](std::uint64_t id, const Request &r, std::int64_t ms) {
           gate.finished(GateRequestId{id}, milliseconds(ms - r.StartedMs));
@@ -238,20 +238,20 @@
 TEST_CASE("late work does not wait in vain", "[overload]") {
   SlotGate gate;
   gate.open(4, 0);
-  const auto work = [](std::uint64_t id, std::int64_t inTimeUntil) {
-    return SlotWork{GateRequestId{id}, 1, at(5000), "r", at(inTimeUntil)};
+  const auto request = [](std::uint64_t id, std::int64_t inTimeUntil) {
+    return SlotRequest{GateRequestId{id}, 1, at(5000), "r", at(inTimeUntil)};
   };
   std::uint64_t id = 0;
   while (id < 4) {
-    CHECK(gate.offer(work(++id, 200), at(0)).Kind == Admitted::Run);
+    CHECK(gate.admit(request(++id, 200), at(0)).Kind == Admitted::Run);
   }
   // Late on arrival: two wait, further ones are refused at once.
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Rejected);
   // Those in time still find room, and are refused once they will be late.
   while (id < 11) {
-    CHECK(gate.offer(work(++id, 300), at(0)).Kind == Admitted::Queued);
+    CHECK(gate.admit(request(++id, 300), at(0)).Kind == Admitted::Queued);
   }
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(290)).size() == 4);
--- a/tests/unit/slot_gate_test.cpp
+++ b/tests/unit/slot_gate_test.cpp
@@ -11,8 +11,8 @@
 
 TimePoint at(std::int64_t ms) { return TimePoint(milliseconds(ms)); }
 
-SlotWork work(std::uint64_t id, std::uint32_t priority = 1,
-              std::int64_t deadlineMs = 100'000) {
+SlotRequest request(std::uint64_t id, std::uint32_t priority = 1,
+                    std::int64_t deadlineMs = 100'000) {
   return {GateRequestId{id}, priority, at(deadlineMs), "r"};
 }
 
@@ -22,11 +22,11 @@
 // they cannot queue.
 TEST_CASE("concurrency stays within the slots", "[slot_gate]") {
   SlotGate gate;
-  CHECK(gate.offer(work(1), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(1), at(0)).Kind == Admitted::Rejected);
   gate.open(2, 0);
-  CHECK(gate.offer(work(1), at(0)).Kind == Admitted::Run);
-  CHECK(gate.offer(work(2), at(0)).Kind == Admitted::Run);
-  CHECK(gate.offer(work(3), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(1), at(0)).Kind == Admitted::Run);
+  CHECK(gate.admit(request(2), at(0)).Kind == Admitted::Run);
+  CHECK(gate.admit(request(3), at(0)).Kind == Admitted::Queued);
   CHECK(gate.start(at(1)).empty());
   gate.finished(GateRequestId{1}, milliseconds(10));
   CHECK(gate.start(at(2)) == std::vector<GateRequestId>{GateRequestId{3}});
@@ -37,10 +37,10 @@
 TEST_CASE("urgent work goes first", "[slot_gate]") {
   SlotGate gate;
   gate.open(1, 0);
-  gate.offer(work(1), at(0));
-  gate.offer(work(2, 2), at(0));
-  gate.offer(work(3, 0), at(1));
-  gate.offer(work(4, 0), at(2));
+  gate.admit(request(1), at(0));
+  gate.admit(request(2, 2), at(0));
+  gate.admit(request(3, 0), at(1));
+  gate.admit(request(4, 0), at(2));
   std::vector<std::uint64_t> order;
   for (std::uint64_t running = 1; running != 2;) {
     gate.finished(GateRequestId{running}, milliseconds(10));
@@ -60,12 +60,12 @@
   std::uint64_t id = 0;
   std::uint64_t lessUrgent = 0;
   std::vector<std::uint64_t> lessUrgentIds;
-  gate.offer(work(++id, 0), at(0));
+  gate.admit(request(++id, 0), at(0));
   for (std::int64_t ms = 10; ms < 10'000; ms += 10) {
-    gate.offer(work(++id, 0, ms + 60), at(ms));
+    gate.admit(request(++id, 0, ms + 60), at(ms));
     if (ms % 60 == 0) {
-      const auto offer = gate.offer(work(++id, 2, ms + 500), at(ms));
-      if (offer.Kind == Admitted::Queued) {
+      const auto admission = gate.admit(request(++id, 2, ms + 500), at(ms));
+      if (admission.Kind == Admitted::Queued) {
         lessUrgentIds.push_back(id);
       }
     }
@@ -85,14 +85,14 @@
 TEST_CASE("hopeless work is refused at once", "[slot_gate]") {
   SlotGate gate;
   gate.open(1, 0);
-  gate.offer(work(1), at(0));
+  gate.admit(request(1), at(0));
   gate.finished(GateRequestId{1}, milliseconds(100));
-  gate.offer(work(2), at(0));
-  const auto offer = gate.offer(work(3, 1, 60), at(0));
-  CHECK(offer.Kind == Admitted::Rejected);
-  CHECK(offer.Code == ErrorCode::Overloaded);
-  CHECK(offer.RetryAfter > Duration::zero());
-  CHECK(gate.offer(work(4, 1, 400), at(0)).Kind == Admitted::Queued);
+  gate.admit(request(2), at(0));
+  const auto admission = gate.admit(request(3, 1, 60), at(0));
+  CHECK(admission.Kind == Admitted::Rejected);
+  CHECK(admission.Code == ErrorCode::Overloaded);
+  CHECK(admission.RetryAfter > Duration::zero());
+  CHECK(gate.admit(request(4, 1, 400), at(0)).Kind == Admitted::Queued);
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(350)) == std::vector<GateRequestId>{GateRequestId{4}});
 }
@@ -102,16 +102,16 @@
 TEST_CASE("work that turns late is kept", "[slot_gate]") {
   SlotGate gate;
   gate.open(2, 0);
-  const auto offer = [&gate](std::uint64_t id, std::uint32_t priority,
+  const auto admit = [&gate](std::uint64_t id, std::uint32_t priority,
                              std::int64_t inTimeUntilMs) {
-    return gate.offer(
+    return gate.admit(
         {GateRequestId{id}, priority, at(10'000), "r", at(inTimeUntilMs)},
         at(0));
   };
-  offer(1, 1, 5000);
-  offer(2, 1, 5000);
+  admit(1, 1, 5000);
+  admit(2, 1, 5000);
   for (const auto &it :
-       {offer(3, 2, 200), offer(4, 0, 300), offer(5, 1, 400)}) {
+       {admit(3, 2, 200), admit(4, 0, 300), admit(5, 1, 400)}) {
     REQUIRE(it.Kind == Admitted::Queued);
   }
   std::vector<GateRequestId> seen;
@@ -141,8 +141,8 @@
   std::vector<std::int64_t> starts;
   std::uint64_t id = 0;
   for (std::int64_t ms = 0; ms < 3000; ms += 5) {
-    const auto offer = gate.offer(work(++id), at(ms));
-    if (offer.Kind == Admitted::Run) {
+    const auto admission = gate.admit(request(++id), at(ms));
+    if (admission.Kind == Admitted::Run) {
       starts.push_back(ms);
     }
     for (const auto it : gate.start(at(ms))) {
