--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -17,7 +17,7 @@
 TimePoint at(std::int64_t ms) { return TimePoint(milliseconds(ms)); }
 
 /** One kind of request that arrives at the gate of a server. */
-struct Arrivals {
+struct RequestKindLoad {
   std::uint32_t Priority;
   double PerSecond;
   double ServiceMs;
@@ -25,30 +25,30 @@
   std::int64_t DeadlineMs;
 };
 
-struct Served {
-  int Asked = 0;
+struct Results {
+  int Arrived = 0;
   int InTime = 0;
   int Late = 0;
 };
 
 /** A load of several kinds of request on one server for some seconds. */
-struct Load {
+struct Workload {
   std::uint32_t Slots;
-  std::vector<Arrivals> Kinds;
+  std::vector<RequestKindLoad> Kinds;
 };
 
 /** The server, with services that end at times drawn from a seed. */
-class Replay {
+class ServerSimulation {
 public:
-  explicit Replay(const Load &load) : Played(load) {}
+  explicit ServerSimulation(const Workload &workload) : Simulated(workload) {}
 
   /** Plays 20 s through the real gate. */
-  std::map<std::size_t, Served> throughGate() {
+  std::map<std::size_t, Results> runWithGate() {
     SlotGate gate;
-    gate.open(Played.Slots, 0);
-    return play(
+    gate.open(Simulated.Slots, 0);
+    return run(
         [&](std::uint64_t id, const Request &r, std::int64_t ms) {
-          const auto &kind = Played.Kinds[r.Kind];
+          const auto &kind = Simulated.Kinds[r.Kind];
           const SlotRequest request{
               GateRequestId{id}, kind.Priority, at(ms + kind.DeadlineMs),
               "r" + std::to_string(r.Kind), at(ms + kind.TargetMs)};
@@ -68,16 +68,16 @@
   }
 
   /** The same for a baseline: a bounded queue served in order of arrival. */
-  std::map<std::size_t, Served> throughQueue() {
+  std::map<std::size_t, Results> runWithFifoQueue() {
     std::deque<std::uint64_t> queue;
     std::uint32_t running = 0;
-    return play(
+    return run(
         [&](std::uint64_t id, const Request &, std::int64_t) {
-          if (running < Played.Slots) {
+          if (running < Simulated.Slots) {
             ++running;
             return true;
           }
-          if (queue.size() < 4 * std::size_t{Played.Slots}) {
+          if (queue.size() < 4 * std::size_t{Simulated.Slots}) {
             queue.push_back(id);
           }
           return false;
@@ -85,7 +85,7 @@
         [&](std::uint64_t, const Request &, std::int64_t) { --running; },
         [&](std::int64_t) {
           std::vector<std::uint64_t> ids;
-          while (running < Played.Slots && !queue.empty()) {
+          while (running < Simulated.Slots && !queue.empty()) {
             ids.push_back(queue.front());
             queue.pop_front();
             ++running;
@@ -100,24 +100,24 @@
     std::int64_t ArrivedMs;
     std::int64_t StartedMs;
   };
-  using Offer =
+  using Admit =
       std::function<bool(std::uint64_t, const Request &, std::int64_t)>;
   using Finish =
       std::function<void(std::uint64_t, const Request &, std::int64_t)>;
   using Start = std::function<std::vector<std::uint64_t>(std::int64_t)>;
 
-  std::map<std::size_t, Served> play(const Offer &offer, const Finish &finish,
+  std::map<std::size_t, Results> run(const Admit &admit, const Finish &finish,
                                      const Start &start) {
     std::mt19937_64 random(1);
     std::map<std::uint64_t, Request> requests;
     std::multimap<std::int64_t, std::uint64_t> ends;
-    std::map<std::size_t, Served> out;
+    std::map<std::size_t, Results> out;
     std::uint64_t lastId = 0;
     const auto begin = [&](std::uint64_t id, std::int64_t ms) {
       auto &r = requests.at(id);
       r.StartedMs = ms;
       std::exponential_distribution<double> service(
-          1 / Played.Kinds[r.Kind].ServiceMs);
+          1 / Simulated.Kinds[r.Kind].ServiceMs);
       ends.emplace(ms + 1 + static_cast<std::int64_t>(service(random)), id);
     };
     for (std::int64_t ms = 0; ms < 20'000; ++ms) {
@@ -126,22 +126,22 @@
         ends.erase(ends.begin());
         const auto &r = requests.at(id);
         finish(id, r, ms);
-        const auto &kind = Played.Kinds[r.Kind];
-        auto &served = out[r.Kind];
-        served.InTime += ms - r.ArrivedMs <= kind.TargetMs ? 1 : 0;
-        served.Late += ms - r.ArrivedMs > kind.TargetMs &&
-                               ms - r.ArrivedMs <= kind.DeadlineMs
-                           ? 1
-                           : 0;
+        const auto &kind = Simulated.Kinds[r.Kind];
+        auto &results = out[r.Kind];
+        results.InTime += ms - r.ArrivedMs <= kind.TargetMs ? 1 : 0;
+        results.Late += ms - r.ArrivedMs > kind.TargetMs &&
+                                ms - r.ArrivedMs <= kind.DeadlineMs
+                            ? 1
+                            : 0;
       }
-      for (std::size_t kind = 0; kind < Played.Kinds.size(); ++kind) {
-        std::poisson_distribution<int> count(Played.Kinds[kind].PerSecond /
+      for (std::size_t kind = 0; kind < Simulated.Kinds.size(); ++kind) {
+        std::poisson_distribution<int> count(Simulated.Kinds[kind].PerSecond /
                                              1000);
         for (int n = count(random); n > 0; --n) {
           const auto id = ++lastId;
           requests[id] = {kind, ms, ms};
-          ++out[kind].Asked;
-          if (offer(id, requests[id], ms)) {
+          ++out[kind].Arrived;
+          if (admit(id, requests[id], ms)) {
             begin(id, ms);
           }
         }
@@ -153,11 +153,11 @@
     return out;
   }
 
-  const Load Played;
+  const Workload Simulated;
 };
 
-double partInTime(const Served &served) {
-  return static_cast<double>(served.InTime) / served.Asked;
+double inTimeRatio(const Results &results) {
+  return static_cast<double>(results.InTime) / results.Arrived;
 }
 
 } // namespace
@@ -166,71 +166,73 @@
 // that is late when it ends: 1.3 times what the server bears, of two kinds that
 // are worth the same. In order of arrival nearly nothing is in time.
 TEST_CASE("under a lasting overload work is in time", "[overload]") {
-  const Load load{12, {{2, 260, 60, 200, 1200}}};
-  const auto queued = Replay(load).throughQueue();
-  const auto gated = Replay(load).throughGate();
-  INFO("in order of arrival: " << partInTime(queued.at(0))
-                               << ", gate: " << partInTime(gated.at(0)));
+  const Workload workload{12, {{2, 260, 60, 200, 1200}}};
+  const auto queued = ServerSimulation(workload).runWithFifoQueue();
+  const auto gated = ServerSimulation(workload).runWithGate();
+  INFO("in order of arrival: " << inTimeRatio(queued.at(0))
+                               << ", gate: " << inTimeRatio(gated.at(0)));
   // The server bears 200 of 260 a second.
-  CHECK(partInTime(gated.at(0)) > 0.6);
-  CHECK(partInTime(gated.at(0)) > 2 * partInTime(queued.at(0)));
+  CHECK(inTimeRatio(gated.at(0)) > 0.6);
+  CHECK(inTimeRatio(gated.at(0)) > 2 * inTimeRatio(queued.at(0)));
 }
 
 // Guards against urgent work that is late since less urgent work is served, and
 // against less urgent work that gets nothing: the mix of a service whose other
 // servers are gone.
 TEST_CASE("urgent work is in time and the rest is not starved", "[overload]") {
-  const Load load{
+  const Workload workload{
       12,
       {{0, 142, 42, 150, 1000}, {1, 330, 15, 60, 200}, {2, 57, 48, 150, 1000}}};
-  const auto queued = Replay(load).throughQueue();
-  const auto gated = Replay(load).throughGate();
+  const auto queued = ServerSimulation(workload).runWithFifoQueue();
+  const auto gated = ServerSimulation(workload).runWithGate();
   for (const auto &it : gated) {
-    INFO("kind " << it.first
-                 << ", in order of arrival: " << partInTime(queued.at(it.first))
-                 << ", gate: " << partInTime(it.second));
-    const auto served = static_cast<double>(it.second.InTime + it.second.Late) /
-                        it.second.Asked;
-    CHECK(served > 0.25);
-    CHECK((it.first > 0 || partInTime(it.second) > 0.9));
+    INFO("kind " << it.first << ", in order of arrival: "
+                 << inTimeRatio(queued.at(it.first))
+                 << ", gate: " << inTimeRatio(it.second));
+    const auto answeredRatio =
+        static_cast<double>(it.second.InTime + it.second.Late) /
+        it.second.Arrived;
+    CHECK(answeredRatio > 0.25);
+    CHECK((it.first > 0 || inTimeRatio(it.second) > 0.9));
   }
 }
 
 // Guards against a repeated attempt that is taken for a new request, which goes
 // before others that can still be in time.
 TEST_CASE("the age of a request counts from its first attempt", "[overload]") {
-  AttemptAgeEstimator ages;
+  AttemptAgeEstimator estimator;
   for (int i = 0; i < 40; ++i) {
-    ages.recordAttempt("r", milliseconds(1000));
-    ages.recordAttempt("r", milliseconds(400 + i));
+    estimator.recordAttempt("r", milliseconds(1000));
+    estimator.recordAttempt("r", milliseconds(400 + i));
     // A client with more patience than the others.
     if (i % 10 == 0) {
-      ages.recordAttempt("r", milliseconds(3000));
+      estimator.recordAttempt("r", milliseconds(3000));
     }
   }
-  CHECK(ages.recordAttempt("r", milliseconds(1000)) == Duration::zero());
-  CHECK(ages.recordAttempt("r", milliseconds(700)) == milliseconds(300));
-  CHECK(ages.recordAttempt("r", milliseconds(3000)) == Duration::zero());
-  CHECK(ages.recordAttempt("unknown", milliseconds(300)) == Duration::zero());
+  CHECK(estimator.recordAttempt("r", milliseconds(1000)) == Duration::zero());
+  CHECK(estimator.recordAttempt("r", milliseconds(700)) == milliseconds(300));
+  CHECK(estimator.recordAttempt("r", milliseconds(3000)) == Duration::zero());
+  CHECK(estimator.recordAttempt("unknown", milliseconds(300)) ==
+        Duration::zero());
 }
 
 // Guards against a server, a version or a route that is blamed for calls that
 // another service refused, and against a real fault that is excused.
 TEST_CASE("errors after refused calls are told from others", "[overload]") {
-  RefusedCallTracker calls;
-  int explained = 0;
+  RefusedCallTracker tracker;
+  int matched = 0;
   for (std::int64_t i = 0; i < 100; ++i) {
     const auto ms = i * 50;
     // A client is refused; then a call, and the server fails.
-    calls.recordRefusal("client", at(ms));
-    calls.recordRefusal("call", at(ms + 20));
-    explained += calls.matchError(at(ms + 22)) ? 1 : 0;
+    tracker.recordRefusal("client", at(ms));
+    tracker.recordRefusal("call", at(ms + 20));
+    matched += tracker.matchError(at(ms + 22)) ? 1 : 0;
     // An error of the server's own.
-    CHECK_FALSE(calls.matchError(at(ms + 40)));
+    CHECK_FALSE(tracker.matchError(at(ms + 40)));
   }
-  CHECK(explained > 90);
-  CHECK(calls.isOutboundRoute("call"));
-  CHECK_FALSE(calls.isOutboundRoute("client"));
+  CHECK(matched > 90);
+  CHECK(tracker.isOutboundRoute("call"));
+  CHECK_FALSE(tracker.isOutboundRoute("client"));
 }
 
 // Guards against requests that wait although they will be late: clients that
