--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -19,7 +19,7 @@
   OperatorState Orders{Codec};
   VersionPolicy Versions{Orders};
   FleetTable Fleet{1};
-  Placement Servers{Fleet, Orders, Versions, {"10.0.0.9", 1}, "here", 1};
+  Placement Servers{Fleet, Orders, Versions, {"10.0.0.9", 1}, "local", 1};
   std::vector<Address> Tried;
 
   PlacementFixture() {
@@ -31,7 +31,7 @@
   void addServer(const std::string &ip, const std::string &version) {
     HostState host;
     host.Peer = {ip, 1};
-    host.DataCentre = ip[3] == '0' ? "here" : "there";
+    host.DataCentre = ip[3] == '0' ? "local" : "remote";
     host.BootId = 1;
     host.Server = {"i-" + ip, "s", version, 4, ServerPhase::Ready};
     Fleet.update(host, at(0));
@@ -61,8 +61,8 @@
   }
 
   /** Lets a server answer one call, and tell the load of its gate. */
-  void answer(const std::string &ip, std::uint32_t inFlight,
-              std::uint32_t queued, std::int64_t ms) {
+  void recordAnswer(const std::string &ip, std::uint32_t inFlight,
+                    std::uint32_t queued, std::int64_t ms) {
     const Address peer{ip, 1};
     Servers.started(peer);
     GateState gate;
@@ -73,7 +73,7 @@
   }
 };
 
-bool isHere(const PlacementChoice &choice) {
+bool isLocal(const PlacementChoice &choice) {
   return choice.Peer && choice.Peer->Ip.rfind("10.0", 0) == 0;
 }
 
@@ -86,18 +86,18 @@
           "[placement]") {
   PlacementFixture f;
   for (const auto *ip : {"10.0.0.1", "10.0.0.2"}) {
-    f.answer(ip, 3, 0, 0);
+    f.recordAnswer(ip, 3, 0, 0);
   }
   for (const auto *ip : {"10.1.0.1", "10.1.0.2"}) {
-    f.answer(ip, 0, 0, 0);
+    f.recordAnswer(ip, 0, 0, 0);
   }
   for (int i = 0; i < 50; ++i) {
-    CHECK(isHere(f.choose(1)));
+    CHECK(isLocal(f.choose(1)));
   }
   for (const auto *ip : {"10.0.0.1", "10.0.0.2"}) {
-    f.answer(ip, 4, 16, 2);
+    f.recordAnswer(ip, 4, 16, 2);
   }
-  CHECK_FALSE(isHere(f.choose(3, 0)));
+  CHECK_FALSE(isLocal(f.choose(3, 0)));
 }
 
 // Guards against work that waits elsewhere as it would here, and crosses data
@@ -105,9 +105,9 @@
 TEST_CASE("a full server elsewhere is not used", "[placement]") {
   PlacementFixture f;
   for (const auto *ip : {"10.0.0.1", "10.0.0.2", "10.1.0.1", "10.1.0.2"}) {
-    f.answer(ip, 4, 16, 0);
+    f.recordAnswer(ip, 4, 16, 0);
   }
-  CHECK(isHere(f.choose(1, 0)));
+  CHECK(isLocal(f.choose(1, 0)));
   f.Tried = {{"10.0.0.1", 1}, {"10.0.0.2", 1}};
   CHECK_FALSE(f.choose(1, 0).Peer);
 }
@@ -140,9 +140,9 @@
 // a version without a share.
 TEST_CASE("servers that must get nothing get nothing", "[placement]") {
   PlacementFixture f;
-  f.Orders.apply({"evacuate/here", "{}", 1});
-  CHECK_FALSE(isHere(f.choose(1)));
-  f.Orders.apply({"evacuate/here", std::nullopt, 2});
+  f.Orders.apply({"evacuate/local", "{}", 1});
+  CHECK_FALSE(isLocal(f.choose(1)));
+  f.Orders.apply({"evacuate/local", std::nullopt, 2});
   f.Orders.apply({"rollout/s", R"({"targetVersion":"v1","durationS":9})", 3});
   CHECK_FALSE(f.choose(1).Peer);
 }
