--- a/tests/unit/slot_gate_test.cpp
+++ b/tests/unit/slot_gate_test.cpp
@@ -58,15 +58,15 @@
   SlotGate gate;
   gate.open(1, 0);
   std::uint64_t id = 0;
-  std::uint64_t lessUrgent = 0;
-  std::vector<std::uint64_t> lessUrgentIds;
+  std::uint64_t lowPriorityStarts = 0;
+  std::vector<std::uint64_t> lowPriorityIds;
   gate.admit(request(++id, 0), at(0));
   for (std::int64_t ms = 10; ms < 10'000; ms += 10) {
     gate.admit(request(++id, 0, ms + 60), at(ms));
     if (ms % 60 == 0) {
       const auto admission = gate.admit(request(++id, 2, ms + 500), at(ms));
       if (admission.Kind == Admitted::Queued) {
-        lessUrgentIds.push_back(id);
+        lowPriorityIds.push_back(id);
       }
     }
     gate.expire(at(ms));
@@ -75,10 +75,11 @@
     }
     for (const auto it : gate.start(at(ms))) {
       const auto raw = static_cast<std::uint64_t>(it);
-      lessUrgent += std::count(lessUrgentIds.begin(), lessUrgentIds.end(), raw);
+      lowPriorityStarts +=
+          std::count(lowPriorityIds.begin(), lowPriorityIds.end(), raw);
     }
   }
-  CHECK(lessUrgent > 100);
+  CHECK(lowPriorityStarts > 100);
 }
 
 // Guards against work that waits although it cannot end in time.
