--- a/include/chivefold/mesh/attempt_age.h
+++ b/include/chivefold/mesh/attempt_age.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * How long a client has been waiting before the attempt at hand.
+ * Estimates how long a client has waited since the first attempt of a request.
  */
 #ifndef CHIVEFOLD_MESH_ATTEMPT_AGE_H
 #define CHIVEFOLD_MESH_ATTEMPT_AGE_H
@@ -15,25 +15,30 @@
 namespace chivefold {
 
 /**
- * Estimates the time since a client's first attempt. Clients state the time
- * that they still wait, which is the same number in nearly all first attempts
- * of a route and less in repeated ones; the most frequent number of a route is
- * taken as that of a first attempt. Not thread-safe.
+ * Estimates the time since a client's first attempt from the remaining time
+ * that each attempt states. First attempts of a route nearly all state the same
+ * remaining time, the client's full timeout, and retries state less. The most
+ * frequent value of a route is therefore taken as the remaining time of a first
+ * attempt. Not thread-safe.
  */
 class AttemptAgeEstimator {
 public:
-  /** Routes whose usual number is kept. */
+  /** Maximum number of routes with counters; attempts of further routes have an
+   * unknown age. */
   static constexpr std::size_t MaxRoutes = 4096;
-  /** Numbers that are counted for a route. */
+  /** Maximum number of distinct remaining times counted per route. */
   static constexpr std::size_t MaxCounters = 8;
-  /** Occurrences after which a number is trusted. */
+  /** Occurrences that the most frequent value needs before it is used. */
   static constexpr std::uint32_t MinOccurrences = 10;
-  /** At this count all counts of a route are halved, so that a change of the
-   * clients is followed. */
+  /** When a counter reaches this value, all counters of the route are halved,
+   * so that the estimate follows a change of the clients' timeouts. */
   static constexpr std::uint32_t HalvingThreshold = 400;
 
-  /** Notes an attempt. @param timeLeft as the client states it. @return time
-   * since the first attempt; zero if it is not known. */
+  /**
+   * Records an attempt and estimates its age.
+   * @param remainingTime how long the client will still wait, as it states.
+   * @return estimated time since the first attempt; zero if unknown.
+   */
   Duration recordAttempt(const std::string &route, Duration remainingTime);
 
 private:
--- a/src/mesh/attempt_age.cpp
+++ b/src/mesh/attempt_age.cpp
@@ -4,8 +4,8 @@
 
 namespace chivefold {
 
-// Misra-Gries summary: a number that makes up more than one in MaxCounted + 1
-// of all is always among the counters.
+// Misra-Gries summary: a value with more than one in MaxCounters + 1 of all
+// occurrences always has a counter.
 void AttemptAgeEstimator::countOccurrence(std::vector<Counter> &counters,
                                           std::int64_t remainingMs) {
   const auto it = std::find_if(
