--- a/include/chivefold/mesh/attempt_policy.h
+++ b/include/chivefold/mesh/attempt_policy.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What follows an attempt of a client's request.
+ * Retry policy for attempts of a client's request.
  */
 #ifndef CHIVEFOLD_MESH_ATTEMPT_POLICY_H
 #define CHIVEFOLD_MESH_ATTEMPT_POLICY_H
@@ -20,58 +20,63 @@
   Answered,
   /** The server answered that it did not run the request. */
   DeclinedByServer,
-  /** The gate beside the server refused; no server saw the request. */
+  /** The server's gate refused the request; the server did not receive it. */
   RefusedByGate,
-  /** Nothing left this daemon. */
+  /** The connection failed before any byte of the request reached a server. */
   NotSent,
-  /** Sent, and no complete answer came. */
+  /** The request was sent, but no complete answer arrived. */
   Lost,
-  /** No server could be chosen. */
+  /** No usable server was found. */
   NoServer
 };
 
-/** @return "answered", "declined", ... Thread-safe. */
+/** @return the name used in log lines, such as "answered" or "declined".
+ * Thread-safe. */
 std::string_view attemptEndName(AttemptEnd end);
 
+/** What the proxy does after an attempt. */
 enum class NextStep : std::uint8_t {
-  /** Choose another server. */
+  /** Send the request to another server. */
   Retry,
-  /** Pass on the server's answer. */
+  /** Forward the server's answer to the client. */
   Deliver,
-  /** Answer that the request has not run and never will. */
+  /** Answer that the request was not run and will not be. */
   RefuseNotRun,
-  /** Answer that the outcome is unknown. */
+  /** Answer that the request may have been run. */
   ReportUnknown
 };
 
-/** Facts of one request that the next step rests on. */
+/** State of a request after an attempt, from which the next step is decided. */
 struct AttemptFacts {
   AttemptEnd End = AttemptEnd::NoServer;
-  /** Status of the server's answer, if it answered. */
+  /** HTTP status of the server's answer; 0 without an answer. */
   int Status = 0;
-  /** The server failed since a call that it made was refused: another server
-   * would fail in the same way. */
+  /** Whether the server returned an error because a call of its own was
+   * refused. Another server would fail in the same way. */
   bool CallRefused = false;
   RequestKind Kind = RequestKind::AtMostOnce;
-  /** Servers that may have run the request so far, this attempt included. */
+  /** Attempts so far that may have run the request, including this one. */
   std::uint32_t PossibleRuns = 0;
+  /** A request with this many attempts that may have run it is not retried. */
   std::uint32_t MaxPossibleRuns = 1;
-  /** Attempts of any kind so far. */
+  /** All attempts so far, including refused ones. */
   std::uint32_t Attempts = 0;
-  /** Time left, and the time that another attempt is expected to take. */
+  /** Time left until the deadline of the request. */
   Duration TimeLeft{};
+  /** Expected latency of another attempt. */
   Duration ExpectedLatency{};
 };
 
 /**
- * Decides what follows an attempt. Requests that may run at most once are never
- * sent again after an attempt that may have run. A repetition that reaches a
- * server is taken from the service's retry budget; one after a refusal by a
- * gate is not, since no server saw the request. Thread-safe but for the tokens.
+ * Decides whether a request is retried after an attempt, and otherwise how it
+ * is answered. An at-most-once request is never retried after an attempt that
+ * may have run it. A retry takes a token of the service's retry budget if the
+ * last attempt reached a server. After a refusal by a gate it takes none, since
+ * no server received the request. Thread-safe except for the tokens.
  */
 class AttemptPolicy {
 public:
-  /** Attempts of any kind, refusals included. */
+  /** Limit of all attempts of a request, including refused ones. */
   static constexpr std::uint32_t MaxAttempts = 5;
 
   static NextStep next(const AttemptFacts &facts, RetryTokens &tokens,
--- a/src/mesh/attempt_policy.cpp
+++ b/src/mesh/attempt_policy.cpp
@@ -9,7 +9,7 @@
 constexpr std::array<std::string_view, 6> AttemptEndNames{
     "answered", "declined", "refused-by-gate", "not-sent", "lost", "no-server"};
 
-/** What to say when no attempt follows. */
+/** How a request is answered when it is not retried. */
 NextStep finalStep(const AttemptFacts &facts) {
   switch (facts.End) {
   case AttemptEnd::Answered:
@@ -17,7 +17,7 @@
   case AttemptEnd::Lost:
     return NextStep::ReportUnknown;
   default:
-    // An earlier attempt of an idempotent request may have run.
+    // An idempotent request may have been run by an earlier attempt.
     return facts.PossibleRuns > 0 ? NextStep::ReportUnknown
                                   : NextStep::RefuseNotRun;
   }
