--- a/include/chivefold/mesh/placement.h
+++ b/include/chivefold/mesh/placement.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Choice of the backend server for a request.
+ * Chooses the backend server for a request.
  */
 #ifndef CHIVEFOLD_MESH_PLACEMENT_H
 #define CHIVEFOLD_MESH_PLACEMENT_H
@@ -21,125 +21,156 @@
 
 namespace chivefold {
 
+/** Constants of the value that a server has for a request. Values and costs are
+ * in units of LowestWorth; those called relative are fractions of the worth of
+ * the request. */
 struct PlacementSettings {
-  /** Price of a kilobyte that crosses data centres, in parts of the worth of a
-   * request of the lowest worth; between the prices of the two deployments. */
+  /** Cost of a kilobyte that crosses data centres. Lies between the costs of
+   * the two deployments. */
   double RemoteKilobyteCost = 0.1;
-  /** Bytes of both messages of a call that are not its bodies. */
+  /** Bytes of a request and its answer that are not in their bodies. */
   double OverheadBytes = 800;
-  /** Value of an answer after the target latency, relative to one in time. */
+  /** Value of an answer after the target latency, relative to one within it. */
   double LateAnswerValue = 0.4;
-  /** How sharply the chance of an answer in time falls with the expected time:
-   * the power of their ratio in the odds. */
+  /** Steepness with which the probability of an answer within the target falls:
+   * 1 / (1 + (expected latency / target latency)^LatenessExponent). */
   double LatenessExponent = 3;
-  /** Value lost for each target latency of expected time, so that of two
-   * servers that answer in time the faster one is chosen. */
+  /** Relative value lost per target latency of expected latency, so that the
+   * faster of two servers that answer in time is chosen. */
   double LatencyPenalty = 0.1;
-  /** Value lost with a server that always fails. */
+  /** Relative value lost with a server whose calls all fail; less in proportion
+   * to the error rate. */
   double ErrorPenalty = 1.0;
-  /** Value lost with a hop to another host of the data centre. */
+  /** Value lost when the server is on another host. */
   double RemoteHostPenalty = 0.005;
-  /** Weight of the newest call in what is known of a server. */
+  /** Weight of the newest call in the moving averages of a server. */
   double LatencyWeight = 0.15;
   double ErrorWeight = 0.1;
-  /** Time in which an old figure loses half of its weight. */
+  /** Half-life with which measurements of a server decay to their defaults. */
   Duration HalfLife = std::chrono::seconds(4);
-  /** Longest time for which a server that refused is not asked again, when it
-   * is full and when it takes no work at all. */
+  /** Longest back-off from a server that refused a request because it is full.
+   */
   Duration MaxFullBackOff = std::chrono::milliseconds(150);
+  /** Longest back-off from a server that refuses all requests. */
   Duration MaxClosedBackOff = std::chrono::seconds(1);
 };
 
-/** A request to be placed. */
+/** A request that needs a server. */
 struct PlacementRequest {
   std::string Service;
-  /** Names the route, for sizes and times. */
+  /** Name of the route, by which latencies and sizes are averaged. */
   std::string Route;
+  /** 0 is the most urgent. */
   std::uint32_t Priority = 0;
-  /** Time within which an answer has its full value; zero if not stated. */
+  /** Time within which an answer has its full value; zero if the route has
+   * none. */
   Duration TargetLatency{};
-  /** Hosts that this request must not use again. */
+  /** Hosts that already had an attempt and must not be chosen again; may be
+   * null. */
   const std::vector<Address> *Tried = nullptr;
 };
 
-/** The chosen host, or why there is none. */
+/** The chosen server, or when to try again. */
 struct PlacementChoice {
+  /** Host of the server; empty if no server can be used. */
   std::optional<Address> Peer;
   std::string Instance;
   std::string Version;
-  /** Expected time until the answer. */
+  /** Expected latency of the chosen server. */
   Duration ExpectedLatency{};
-  /** Without a choice: when one may be possible. */
+  /** Used if Peer is empty: time until the client may try again. */
   Duration RetryAfter{};
-  /** Servers that could be used, for log lines. */
+  /** Number of servers that this request may try. */
   std::size_t Candidates = 0;
 };
 
 /**
- * Chooses the server with the highest expected value: that of an answer in time
- * or late, less the price of the bytes that cross data centres. The expected
- * time comes from the server's speed as measured, its queue as its gate last
- * told and the calls of this daemon since. Answers slow and failing servers,
- * one-sided load and servers that just returned. Costs O(servers of the
- * service) a choice. Not thread-safe.
+ * Load balancer that chooses the server with the highest expected value. That
+ * is the value of an answer within the target latency or after it, less the
+ * cost of the bytes that cross data centres. The expected latency is computed
+ * from the server's measured latencies, from the load that its gate last
+ * reported and from the requests that this daemon has in progress there. It
+ * therefore avoids slow and failing servers, evens out load, and tries servers
+ * again that have recovered. A choice takes time linear in the servers of the
+ * service, and up to quadratic in those of the target version during a rollout.
+ * Not thread-safe.
  */
 class Placement {
 public:
-  /** Routes whose sizes and times are kept. */
+  /** Maximum number of routes with averages; further ones use defaults. */
   static constexpr std::size_t MaxRoutes = 4096;
+  /** Worth of a request of the lowest priority. */
   static constexpr std::uint32_t LowestWorth = 1;
-  /** Priorities told apart; the last one stands for all behind it. */
+  /** Number of distinguished priorities; the last level holds all lower ones.
+   */
   static constexpr std::size_t PriorityLevels = 4;
 
-  /** The references outlive this object. */
+  /** @param seed of the random tie-breaking. The references must outlive this
+   * object. */
   Placement(const FleetTable &fleet, const OperatorState &orders,
             VersionPolicy &versions, Address self, std::string dataCentre,
             std::uint64_t seed, const PlacementSettings &settings = {});
 
-  /** Rebuilds the lists of servers by service after a change of the fleet. */
+  /** Rebuilds the lists of servers by service. Call after a fleet change. */
   void refresh();
 
+  /** Chooses a server for an attempt; does not count it as sent. */
   PlacementChoice choose(const PlacementRequest &request, TimePoint now);
 
-  /** A request was sent. Followed by exactly one of answered(), refused(),
-   * lost() and cancelled(), after notDelivered() if it came back unsent. */
+  /** Records that a request was sent to @p peer. Exactly one of answered(),
+   * refused(), lost() and cancelled() must follow, with notDelivered() before
+   * it if no server received the request. */
   void started(const Address &peer);
-  /** No server has seen the request. */
+  /** Records that no server received a request; it then does not count for the
+   * share of a rollout. */
   void notDelivered(const Address &peer) { recordForSplit(peer, -1); }
-  /** @param bytes of the request and its answer. */
+  /** Records an answer. @param bytes of the bodies of the request and its
+   * answer.
+   * @param serverError whether the server itself failed. */
   void answered(const Address &peer, const std::string &route, Duration latency,
                 std::size_t bytes, bool serverError, const GateState &gate,
                 TimePoint now);
-  /** @param priority of the request: a server that is full for less urgent work
-   * may still take more urgent work. */
+  /** Records a refusal and backs off from the server. @param priority of the
+   * request: a full server may still accept requests of a higher priority, so
+   * the back-off covers this priority and lower ones. A gate with limit 0
+   * refuses all priorities. */
   void refused(const Address &peer, const GateState &gate,
                std::uint32_t priority, Duration retryAfter, TimePoint now);
+  /** Records a request that failed without an answer or a refusal. Counts as an
+   * error with twice the weight. */
   void lost(const Address &peer, TimePoint now);
+  /** Records that a request was cancelled by this daemon. */
   void cancelled(const Address &peer);
 
-  /** @return expected time of service of a route on a usual server. */
+  /** @return expected latency of a route on an average server. */
   Duration expectedLatency(const std::string &route) const;
 
-  /** @return ready servers of @p service that may get requests. */
+  /** @return number of reachable, ready servers of @p version. Ignores
+   * evacuated data centres and the version's share. */
   unsigned countReadyServers(const std::string &service,
                              const std::string &version) const;
 
 private:
+  /** What this daemon knows of a server. */
   struct ServerLoad {
+    /** Requests of this daemon in progress at the server. */
     std::uint32_t OwnRequests = 0;
-    /** Load at the gate that others caused, as of GateAt. */
+    /** Requests of other daemons, as the gate reported at GateStateAt. */
     double OtherRequests = 0;
+    /** Concurrency limit that the gate last reported; 0 if unknown or
+     * if the gate refuses all requests. */
     std::uint32_t Limit = 0;
     TimePoint GateStateAt{};
-    /** Time of service relative to what is usual for the route. */
+    /** Moving average of latency relative to the average of the route. */
     double LatencyRatio = 1;
     TimePoint LatencyRatioAt{};
-    /** Smoothed share of failed calls. */
+    /** Moving average of the fraction of failed calls. */
     double ErrorRate = 0;
     TimePoint ErrorRateAt{};
-    /** When a request of each urgency may be tried again. */
+    /** End of the back-off for each priority level. */
     std::array<TimePoint, PriorityLevels> NotBefore{};
   };
+  /** Moving averages of a route over all servers. */
   struct RouteStats {
     double LatencyUs = 0;
     double Bytes = 0;
@@ -176,12 +207,13 @@
   std::string DataCentre;
   std::mt19937_64 Random;
   PlacementSettings Settings;
-  /** Hosts by service, with servers in any phase. */
+  /** Hosts by service; their servers may be in any phase. */
   std::unordered_map<std::string, std::vector<Address>> ByService;
   std::unordered_map<Address, ServerLoad> Loads;
   std::unordered_map<std::string, RouteStats> Routes;
-  /** What servers of each service got during its rollout: the sum of the
-   * target's shares less FullShare for each request at the target. */
+  /** Requests owed to the target version of each service's rollout, in basis
+   * points: every request sent adds the target's share, and every one sent to
+   * the target subtracts FullShare. */
   std::unordered_map<std::string, std::int64_t> SplitBalances;
 };
 
--- a/src/mesh/placement.cpp
+++ b/src/mesh/placement.cpp
@@ -7,28 +7,31 @@
 
 namespace {
 
-/** Before the first call of a route. */
+/** Averages of a route before its first answered call. */
 constexpr double InitialLatencyUs = 50'000;
 constexpr double InitialBytes = 1'000;
-/** For a route that states no target latency. */
+/** Target latency of a route that states none. */
 constexpr double DefaultTargetUs = 500'000;
-/** Weight of the newest call in the figures of a route. */
+/** Weight of the newest call in the moving averages of a route. */
 constexpr double RouteStatsWeight = 0.05;
+/** Bounds of the latency ratio of a single call. */
 constexpr double MinLatencyRatio = 0.3;
 constexpr double MaxLatencyRatio = 20;
-/** Random part of a value, so that daemons with equal views do not all choose
- * the same server. */
+/** Largest random addition to a value. Without it, daemons with the same data
+ * would all choose the same server. */
 constexpr double Jitter = 0.01;
-/** Retry-after time when no server of the service takes work. */
+/** Retry-after time when no server of the service can be used. */
 constexpr Duration NoServerRetryAfter = std::chrono::milliseconds(500);
-/** Part of a rollout's target servers that takes part at any share: with less
- * the evidence is about single servers, with more a small share is no load. */
+/** Minimum fraction of the target version's servers that get requests, at any
+ * share. With fewer the evidence would be about single servers; with more a
+ * small share would put no real load on each of them. */
 constexpr double MinTargetFraction = 0.5;
-/** Requests of a rollout's target that a daemon may catch up with at once, in
- * shares. */
+/** Limit of a split balance in basis points, which is two requests. Bounds the
+ * burst to the target version after a time in which it could get none. */
 constexpr std::int64_t MaxSplitBalance = 2 * std::int64_t{FullShare};
 
-/** Worth of a request by its urgency; the platform states only the order. */
+/** Worth of a request by its priority. The platform defines only the order of
+ * priorities, not their worth. */
 double worthOf(std::uint32_t priority) {
   return priority >= 2 ? Placement::LowestWorth : 3.0 - priority;
 }
@@ -90,14 +93,14 @@
                    static_cast<double>(Settings.HalfLife.count()));
 }
 
-// Requests at the server or on their way: those of this daemon, and of others
-// as its gate last told.
+// Requests running, queued or on their way to a server: those of this daemon,
+// and those of others as the gate last reported, with decay.
 double Placement::outstandingRequests(const ServerLoad &load,
                                       TimePoint now) const {
   return load.OwnRequests + load.OtherRequests * decay(load.GateStateAt, now);
 }
 
-// Time until the answer in microseconds, and the share of failed calls.
+// Returns the expected latency in microseconds and sets the error rate.
 double Placement::expectedLatencyUs(const HostState &host,
                                     double routeLatencyUs, TimePoint now,
                                     double &errorRate) const {
@@ -115,8 +118,8 @@
       slots = load.Limit;
     }
   }
-  // Up to its slots a server works at full speed; beyond, work waits. A nearly
-  // full one is used last among equals.
+  // A server runs requests at full speed up to its slots; further ones wait.
+  // The occupancy term makes the emptier of two otherwise equal servers win.
   const double waitFactor = std::max(0.0, outstanding + 1 - slots) / slots;
   constexpr double occupancyWeight = 0.15;
   return routeLatencyUs * latencyRatio *
@@ -155,8 +158,8 @@
   return out;
 }
 
-// A full server in another data centre does not help: work would wait there as
-// it does here, and its bytes would cross.
+// Used to skip full servers of other data centres: a request would wait there
+// as it does locally, and its bytes would cross data centres too.
 bool Placement::isFull(const HostState &host, TimePoint now) const {
   const auto it = Loads.find(host.Peer);
   if (it == Loads.end()) {
@@ -166,7 +169,7 @@
   return load.Limit > 0 && outstandingRequests(load, now) >= load.Limit;
 }
 
-// Whether the next request of a service is one for the target of its rollout.
+// Whether the next request of a service is due to the target of its rollout.
 bool Placement::isTargetTurn(const std::string &service,
                              const VersionPolicy::Split &split) const {
   if (split.ShareBasisPoints == 0 || split.ShareBasisPoints == FullShare) {
@@ -177,8 +180,9 @@
   return balance + split.ShareBasisPoints >= std::int64_t{FullShare};
 }
 
-// Counts a request that goes to a server (+1), or one that none has seen (-1):
-// while gates refuse work the share is one of what servers get.
+// Counts a request that is sent (+1), or takes one back that no server received
+// (-1). The share of the target version is thus a share of the requests that
+// servers receive, also while gates refuse many of them.
 void Placement::recordForSplit(const Address &peer, int delta) {
   const auto *entry = Fleet.find(peer);
   if (entry == nullptr) {
@@ -197,7 +201,7 @@
   balance = std::min(balance + delta * change, MaxSplitBalance);
 }
 
-// The hosts of a service whose servers take work.
+// Returns the hosts whose servers accept requests.
 std::vector<const HostState *>
 Placement::eligibleServers(const std::vector<Address> &hosts) const {
   std::vector<const HostState *> out;
@@ -210,8 +214,9 @@
   return out;
 }
 
-// Servers of a rollout's target that take part: few at a small share, so that
-// each has the load that it will have at the end.
+// Returns the servers of a rollout's target version that get requests. At a
+// small share only some do, so that the load of each is closer to that after
+// the rollout.
 std::vector<Address>
 Placement::targetServers(const std::vector<const HostState *> &eligible,
                          const VersionPolicy::Split &split) const {
@@ -241,7 +246,7 @@
   const bool isFirstAttempt =
       request.Tried == nullptr || request.Tried->empty();
   const auto split = Versions.split(request.Service);
-  // At a partial share a repeated request stays with the old version.
+  // While the share is partial, retries go to the old version.
   const bool wantsTarget =
       split && (isFirstAttempt || split->ShareBasisPoints == FullShare) &&
       isTargetTurn(request.Service, *split);
@@ -262,7 +267,8 @@
       continue;
     }
     ++out.Candidates;
-    // Requests beyond the share of a rollout's target must not reach it.
+    // The target version must not get requests beyond its share; targets is
+    // empty unless this request is due to it.
     const bool isTarget = split && host->Server.Version == split->Target;
     const bool isWantedVersion = isTarget == wantsTarget;
     if (isTarget && std::find(targets.begin(), targets.end(), host->Peer) ==
@@ -302,7 +308,7 @@
   load.GateStateAt = now;
 }
 
-// A request of this daemon ended.
+// Counts a request of this daemon as ended.
 Placement::ServerLoad &Placement::endRequest(const Address &peer) {
   auto &load = Loads[peer];
   load.OwnRequests -= load.OwnRequests > 0 ? 1 : 0;
