--- a/include/chivefold/mesh/refused_calls.h
+++ b/include/chivefold/mesh/refused_calls.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Failures of a backend server that follow from a refused call of its own.
+ * Detects errors of a backend server that were caused by its own refused calls.
  */
 #ifndef CHIVEFOLD_MESH_REFUSED_CALLS_H
 #define CHIVEFOLD_MESH_REFUSED_CALLS_H
@@ -15,40 +15,45 @@
 namespace chivefold {
 
 /**
- * Answers the load pattern of a full service that requests of another one call:
- * they run, fail at their call and would be repeated, to fail again.
+ * Detects which errors of a backend server were caused by a refused call that
+ * the server made itself. Retrying such a request is useless while the called
+ * service is overloaded: it would run again and fail at the same call.
  *
- * Tells which failures of a backend server follow from a refused call of its
- * own. Calls come to the daemon like requests of clients, so the routes that
- * the server calls are learned: the server answers its caller with an error
- * right after such a refusal, while refusals of clients and errors of the
- * server meet by chance only. Not thread-safe.
+ * The daemon receives the server's calls in the same way as client requests, so
+ * it learns from timing which routes the server calls. The server answers its
+ * caller with an error right after one of its calls is refused, while refusals
+ * of client requests precede errors only by chance. Not thread-safe.
  */
 class RefusedCallTracker {
 public:
-  /** Longest time from the refusal of a call to the error that it causes; the
-   * server is on the same host, and is answered at once. */
+  /** Longest time from the refusal of a call to the error that it causes.
+   * Short, because the server runs on the same host and gets the refusal at
+   * once. */
   static constexpr Duration MaxErrorDelay = std::chrono::milliseconds(6);
-  /** Refusals of a route that must have met an error, and their part of all,
-   * before it counts as one that the server calls. */
+  /** A route counts as called by the server once this many of its refusals, and
+   * this fraction of all its refusals, were followed by an error. */
   static constexpr std::uint32_t MinMatches = 4;
   static constexpr double MinMatchRatio = 0.5;
-  /** Refusals after which the counts of a route are halved. */
+  /** Beyond this many refusals the counts of a route are halved. */
   static constexpr std::uint32_t HalvingThreshold = 200;
-  /** Routes whose refusals are counted. */
+  /** Maximum number of routes with counts; refusals of further ones are
+   * ignored. */
   static constexpr std::size_t MaxRoutes = 4096;
 
-  /** A request of this host was not answered. */
+  /** Records that a request from this host, of a client or of the server, got
+   * no answer from a backend server. */
   void recordRefusal(const std::string &route, TimePoint now);
-  /** The server answered with an error. @return whether a refused call is the
-   * cause; each refusal explains one error. */
+  /** Matches an error answer of the server with the refusal that most likely
+   * caused it; a refusal is matched with one error only. @return whether that
+   * refusal is of a route that the server calls. */
   bool matchError(TimePoint now);
-  /** @return whether the server makes the requests of that route. */
+  /** @return whether the server itself calls @p route. */
   bool isOutboundRoute(const std::string &route) const;
 
 private:
   struct RouteCounts {
     std::uint32_t Refusals = 0;
+    /** Refusals that were matched with an error. */
     std::uint32_t Matches = 0;
     double matchRatio() const;
   };
@@ -58,7 +63,7 @@
   };
 
   std::unordered_map<std::string, RouteCounts> Routes;
-  /** Refusals that no error has met so far. */
+  /** Refusals not matched with an error; dropped after MaxErrorDelay. */
   std::deque<Refusal> UnmatchedRefusals;
 };
 
--- a/src/mesh/refused_calls.cpp
+++ b/src/mesh/refused_calls.cpp
@@ -36,7 +36,8 @@
          UnmatchedRefusals.front().At + MaxErrorDelay < now) {
     UnmatchedRefusals.pop_front();
   }
-  // The likeliest cause is of the route whose refusals met errors most often.
+  // The most likely cause is the refusal whose route has the highest match
+  // ratio.
   const auto cause =
       std::max_element(UnmatchedRefusals.begin(), UnmatchedRefusals.end(),
                        [this](const Refusal &a, const Refusal &b) {
