--- a/include/chivefold/mesh/service_split.h
+++ b/include/chivefold/mesh/service_split.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Choice among the services of a route by their weights.
+ * Weighted choice among the services of a route.
  */
 #ifndef CHIVEFOLD_MESH_SERVICE_SPLIT_H
 #define CHIVEFOLD_MESH_SERVICE_SPLIT_H
@@ -14,20 +14,22 @@
 namespace chivefold {
 
 /**
- * Smooth weighted round robin, so that each daemon by itself keeps to the
- * weights, over short times too. Not thread-safe.
+ * Splits the requests of a route among its services by smooth weighted round
+ * robin. The requests of each single daemon match the weights, even over short
+ * periods. Not thread-safe.
  */
 class ServiceSplit {
 public:
-  /** Routes whose turns are kept; further ones use their first service. */
+  /** Limit of routes with current weights. Once it is reached, every route with
+   * several services uses its first one. */
   static constexpr std::size_t MaxRoutes = 8192;
 
-  /** @return the service of the next request. Precondition: the route has one.
-   */
+  /** @return the service of the next request. Precondition: the route has at
+   * least one service. */
   std::string choose(const MeshRoute &route);
 
 private:
-  /** Running weights by route and service. */
+  /** Current weights of the round robin, by route and service. */
   std::map<std::string, std::map<std::string, std::int64_t>> CurrentWeights;
 };
 
