--- a/include/chivefold/mesh/slot_gate.h
+++ b/include/chivefold/mesh/slot_gate.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Admission beside a backend server that states its slots.
+ * Admission control beside a backend server with a fixed number of slots.
  */
 #ifndef CHIVEFOLD_MESH_SLOT_GATE_H
 #define CHIVEFOLD_MESH_SLOT_GATE_H
@@ -25,103 +25,121 @@
   /** 0 is the most urgent. */
   std::uint32_t Priority = 0;
   TimePoint Deadline{};
-  /** Names the route, for the expected time of service. */
+  /** Name of the route, by which service times are averaged. */
   std::string Route;
-  /** Until then an answer has its full value. */
+  /** Time until which an answer has its full value, by the target latency of
+   * the route. */
   TimePoint InTimeUntil = TimePoint::max();
 };
 
-/** Decision on a newcomer; one that is refused was certainly not run. */
+/** Decision on a new request. A rejected request was certainly not run. */
 struct SlotAdmission {
   Admitted Kind = Admitted::Run;
+  /** Set if rejected: NotReady or Overloaded. */
   ErrorCode Code = ErrorCode::Ok;
-  /** For Rejected: when the caller may try this server again. */
+  /** Set if rejected: time until the caller may try this server again. */
   Duration RetryAfter{};
 };
 
+/** Constants of a slot gate. */
 struct SlotGateTuning {
-  /** Part of a cold server's stated rate that is used; the rest covers requests
-   * whose arrival is counted in the next second. */
+  /** Fraction of a cold server's stated rate that is used. The rest covers
+   * requests that the server counts in the second after the one in which they
+   * were sent. */
   double ColdRateFraction = 0.9;
-  /** Requests of one urgency, or of it and less urgent ones, that wait for one
-   * slot at most. */
+  /** Queue bound per slot. Applies to the requests of each priority together
+   * with those of all lower priorities. */
   double QueuePerSlot = 4;
-  /** The same for requests that will be late. Few: clients that send requests
-   * behind others on a connection get no answer until those before are
-   * answered, so that one late request makes others late. */
+  /** Queue bound per slot for requests that will miss their target latency.
+   * Low, because a client that pipelines requests on a connection gets its
+   * answers in order, so that one late request delays those behind it. */
   double LateQueuePerSlot = 0.5;
-  /** Work is late if less than so many expected times of service are left until
-   * its target; services take longer than their mean in a third of calls. */
+  /** A request will be late if less than this multiple of its expected service
+   * time is left until its target. Above 1, because a third of calls take
+   * longer than the mean. */
   double TargetMarginFactor = 1.5;
-  /** Weight of the newest call in the expected time of service. */
+  /** Weight of the newest call in the expected service time. */
   double ServiceTimeWeight = 0.1;
-  /** Expected time of service before the first call of a route. */
+  /** Expected service time before the first call ends. */
   Duration InitialServiceTime = std::chrono::milliseconds(50);
-  /** Of so many starts one goes to work of another urgency that waits, so that
-   * it is not starved while one class alone fills the server. */
+  /** One in this many starts goes to a waiting request of another priority than
+   * the head of the queue, so that one priority cannot starve the others. */
   std::uint32_t OtherPriorityInterval = 6;
+  /** Bounds of the retry-after time of a rejection. */
   Duration MinRetryAfter = std::chrono::milliseconds(50);
   Duration MaxRetryAfter = std::chrono::seconds(2);
 };
 
 /**
- * Keeps a server's concurrency at its slots and a cold server's rate at what
- * it bears. What can still be answered by its target goes before what will be
- * late; within each, what waits is served in order of priority, then of
- * arrival. A request that cannot end before its deadline is refused at once, on
- * arrival and when it becomes clear later. Answers the load patterns of a burst
- * at a server that never answers what it cannot queue and of an overload that
- * lasts, in which serving by arrival alone makes nearly every answer late. Not
- * thread-safe.
+ * Limits a server's concurrency to its slots and the request rate of a cold
+ * server to its stated rate. Queued requests that can still meet their target
+ * latency run before those that will be late; each of the two groups runs in
+ * order of priority, then of arrival. A request that cannot end before its
+ * deadline is rejected, on arrival or as soon as that becomes clear in the
+ * queue.
+ *
+ * The gate protects servers that never answer requests which they cannot queue
+ * from bursts. The order of its queue is for lasting overload, in which serving
+ * by arrival alone makes nearly every answer late. Not thread-safe.
  */
 class SlotGate {
 public:
-  /** Routes whose time of service is kept; further ones share one value. */
+  /** Maximum number of routes with an average service time; further ones use
+   * the mean of all routes. */
   static constexpr std::size_t MaxRoutes = 4096;
 
   explicit SlotGate(const SlotGateTuning &tuning = {});
 
-  /** Admits work for a server with @p slots. @p connections bounds the
-   * concurrency too; 0 means no bound. */
+  /** Starts admitting requests for a server with @p slots. @p connections also
+   * limits the concurrency; 0 means no limit. */
   void open(std::uint32_t slots, std::uint32_t connections);
 
-  /** Refuses new work. @return what waited, certainly not run; work that runs
-   * goes on. */
+  /** Rejects new requests from now on. Running requests continue. @return the
+   * queued requests, which were certainly not run. */
   std::vector<GateRequestId> close();
 
   bool isOpen() const { return Open; }
 
-  /** The server bears only @p rate requests a second until @p until. */
+  /** Limits starts to @p rate per second until @p until; a rate of 0 means no
+   * limit. */
   void setCold(double rate, TimePoint until);
 
+  /** Runs, queues or rejects a new request. */
   SlotAdmission admit(const SlotRequest &request, TimePoint now);
 
-  /** @return the waiting requests that are to run now; they count as running.
-   */
+  /** Starts queued requests as far as the limits allow. @return the requests to
+   * run now. */
   std::vector<GateRequestId> start(TimePoint now);
 
-  /** @return the waiting requests that can no longer end before their
-   * deadline, and late ones beyond their bound; certainly not run. */
+  /** Removes queued requests that can no longer end before their deadline, and
+   * late ones beyond their queue bound. @return the removed requests, which
+   * were certainly not run. */
   std::vector<GateRequestId> expire(TimePoint now);
 
-  /** A running request ended. @param latency empty if it says nothing of the
-   * time of service (cancelled, refused by the server). */
+  /** Ends a running request. @param latency empty if it does not measure the
+   * service time, as for a request that was cancelled or declined by the
+   * server.
+   */
   void finished(GateRequestId id, std::optional<Duration> latency);
 
-  /** Drops a waiting request. @return whether it was waiting. */
+  /** Removes a queued request. @return whether it was queued. */
   bool cancel(GateRequestId id);
 
-  /** @return when start() or expire() may give something without any other
-   * event. */
+  /** @return the next time at which start() or expire() may return requests
+   * without any other event; none if the queue is empty. Does not cover
+   * requests that turn late: those beyond the queue bound are returned by
+   * expire() after another event. */
   std::optional<TimePoint> nextWakeUp(TimePoint now) const;
 
   GateState state(TimePoint now) const;
 
-  /** @return expected time of service of a route. */
+  /** @return expected service time of a route. */
   Duration expectedServiceTime(const std::string &route) const;
 
 private:
+  /** Position in the queue. */
   struct Key {
+    /** Whether the request will miss its target latency. */
     bool Late;
     std::uint32_t Priority;
     std::uint64_t Sequence;
@@ -137,7 +155,7 @@
     std::string Route;
   };
   using RequestQueue = std::map<Key, QueuedRequest>;
-  /** All that will be late stands from here on. */
+  /** Lower bound of the keys of late requests. */
   static constexpr Key LateBegin{true, 0, 0};
 
   RequestQueue::iterator selectNext();
@@ -161,18 +179,22 @@
   SlotGateTuning Tuning;
   bool Open = false;
   std::uint32_t Limit = 0;
+  /** Starts per second of a cold server; 0 means no limit. */
   double ColdRate = 0;
   TimePoint ColdUntil{};
   std::uint64_t NextSequence = 0;
-  /** Starts of urgent work since less urgent work had its turn. */
+  /** Starts at the head of the queue since a request of another priority was
+   * last started or none was waiting. */
   std::uint32_t HeadClassStarts = 0;
   RequestQueue Queue;
   std::unordered_map<GateRequestId, Key> QueuedIds;
   /** Route of each running request; bounded by Limit. */
   std::unordered_map<GateRequestId, std::string> Running;
-  /** Starts of the last second, for the rate of a cold server. */
+  /** Times of recent starts, for the rate limit of a cold server. */
   std::deque<TimePoint> RecentStarts;
+  /** Moving average of each route, in microseconds. */
   std::unordered_map<std::string, double> RouteServiceTimes;
+  /** Moving average over all routes, in microseconds. */
   double MeanServiceTime = 0;
 };
 
--- a/src/mesh/slot_gate.cpp
+++ b/src/mesh/slot_gate.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/** The bound of a cold server counts any second; requests need a little time to
- * arrive, so that starts are counted over slightly more. */
+/** Window in which the starts of a cold server are counted. The rate limit
+ * holds for every period of one second at the server. The window is slightly
+ * longer, because requests need varying time to arrive there. */
 constexpr Duration ColdWindow = std::chrono::milliseconds(1100);
 
 } // namespace
@@ -71,13 +72,13 @@
       it == RouteServiceTimes.end() ? MeanServiceTime : it->second));
 }
 
-// Time until a slot is free for a request with that many before it.
+// Returns the time until a request with that many others before it can start.
 Duration SlotGate::expectedWait(std::size_t queuedAhead, TimePoint now) const {
   if (mayStart(now) && queuedAhead == 0) {
     return Duration::zero();
   }
-  double startsPerUs =
-      Limit / std::max(MeanServiceTime, 1000.0); // A microsecond.
+  // A mean below 1 ms counts as 1 ms.
+  double startsPerUs = Limit / std::max(MeanServiceTime, 1000.0);
   if (isCold(now) && ColdRate > 0) {
     startsPerUs =
         std::min(startsPerUs, ColdRate * Tuning.ColdRateFraction / 1e6);
@@ -91,14 +92,16 @@
           std::clamp(wait, Tuning.MinRetryAfter, Tuning.MaxRetryAfter)};
 }
 
-// The first entry that is less urgent than the first one, or will be late.
+// Returns the first entry behind those with the lateness and priority of the
+// head of the queue. Precondition: the queue is not empty.
 SlotGate::RequestQueue::iterator SlotGate::endOfHeadClass() {
   const auto &first = Queue.begin()->first;
   return Queue.lower_bound(Key{first.Late, first.Priority + 1, 0});
 }
 
-// Starts before a newcomer's: those of all work that goes before it or, by the
-// turns of less urgent work, those of the less urgent work alone.
+// Estimates the starts before that of a new request. A request of another class
+// than the head of the queue starts in queue order or in the interval for other
+// priorities, whichever is earlier.
 std::size_t SlotGate::startsAheadOf(const Key &key) {
   const auto count = [](auto first, auto last) {
     return static_cast<std::size_t>(std::distance(first, last));
@@ -123,8 +126,8 @@
   return start + Duration(static_cast<std::int64_t>(needed)) > inTimeUntil;
 }
 
-// More urgent work does not fill the queue of the rest, and work that will be
-// late not that of work in time.
+// Higher priorities do not use up the queue bound of lower ones, and late
+// requests do not use up that of requests in time.
 bool SlotGate::hasRoom(const Key &key) const {
   const auto first = Queue.lower_bound(Key{key.Late, key.Priority, 0});
   const auto last = key.Late ? Queue.end() : Queue.lower_bound(LateBegin);
@@ -157,7 +160,8 @@
   return {Admitted::Queued, ErrorCode::Ok, {}};
 }
 
-// Puts what can no longer be answered by its target behind the rest.
+// Moves requests that can no longer meet their target latency behind all
+// others.
 void SlotGate::demoteLate(TimePoint now) {
   for (auto it = Queue.begin(); it != Queue.end() && !it->first.Late;) {
     const auto next = std::next(it);
@@ -178,14 +182,14 @@
   RecentStarts.push_back(now);
 }
 
-// Precondition: something waits.
+// Selects the next request to start. Precondition: the queue is not empty.
 SlotGate::RequestQueue::iterator SlotGate::selectNext() {
   const auto head = Queue.begin();
-  // The next one of another urgency, which would be starved while the first
-  // class alone fills the server.
+  // The next request of another priority, which would be starved while requests
+  // of the head's priority keep the server full.
   auto other = Queue.end();
   for (auto it = endOfHeadClass(); it != Queue.end(); ++it) {
-    // In the turn of other work, too, what can be in time goes first.
+    // Among the other priorities, too, requests that can be in time go first.
     const bool goesEarlier =
         other == Queue.end() || (it->first.Late == other->first.Late &&
                                  it->first.Sequence < other->first.Sequence);
@@ -204,7 +208,7 @@
   return other;
 }
 
-// Takes an entry out of the queue.
+// Removes an entry from the queue and appends its id to ids.
 SlotGate::RequestQueue::iterator
 SlotGate::removeQueued(RequestQueue::iterator it,
                        std::vector<GateRequestId> &ids) {
@@ -236,7 +240,8 @@
   return ids;
 }
 
-// Late work beyond its bound would mostly wait until its deadline in vain.
+// Removes late requests beyond their queue bound, the last in queue order
+// first; most of them would only wait until their deadline.
 void SlotGate::dropExcessLate(std::vector<GateRequestId> &ids) {
   const auto first = Queue.lower_bound(LateBegin);
   const auto bound =
@@ -286,7 +291,8 @@
     const auto freed = std::max(RecentStarts.front() + ColdWindow, now);
     next = std::min(next, std::min(freed, ColdUntil));
   }
-  // A turn of the loop later at the earliest, so that a late timer cannot spin.
+  // At least 1 ms ahead, so that a timer that is already due cannot make the
+  // event loop spin.
   return std::max(next, now + std::chrono::milliseconds(1));
 }
 
@@ -298,7 +304,7 @@
   out.Cold = isCold(now);
   out.Leaving = !Open;
   if (out.Cold && ColdRate > 0 && Open) {
-    // What a cold server can have in progress at its rate.
+    // Requests that a cold server has in progress at its rate, by Little's law.
     const auto coldConcurrency =
         ColdRate * Tuning.ColdRateFraction * MeanServiceTime / 1e6;
     out.Limit =
