--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -16,7 +16,7 @@
 
 TimePoint at(std::int64_t ms) { return TimePoint(milliseconds(ms)); }
 
-/** One kind of request that arrives at the gate of a server. */
+/** Arrival rate, service time and latency limits of one kind of request. */
 struct RequestKindLoad {
   std::uint32_t Priority;
   double PerSecond;
@@ -25,24 +25,26 @@
   std::int64_t DeadlineMs;
 };
 
+/** Numbers of requests of one kind. */
 struct Results {
   int Arrived = 0;
   int InTime = 0;
   int Late = 0;
 };
 
-/** A load of several kinds of request on one server for some seconds. */
+/** A server's slots and the kinds of request that arrive there. */
 struct Workload {
   std::uint32_t Slots;
   std::vector<RequestKindLoad> Kinds;
 };
 
-/** The server, with services that end at times drawn from a seed. */
+/** Simulates a server with random arrivals and service times from a fixed seed.
+ */
 class ServerSimulation {
 public:
   explicit ServerSimulation(const Workload &workload) : Simulated(workload) {}
 
-  /** Plays 20 s through the real gate. */
+  /** Simulates 20 s with a SlotGate. @return results by kind of request. */
   std::map<std::size_t, Results> runWithGate() {
     SlotGate gate;
     gate.open(Simulated.Slots, 0);
@@ -67,7 +69,7 @@
         });
   }
 
-  /** The same for a baseline: a bounded queue served in order of arrival. */
+  /** The same with a baseline, a bounded FIFO queue. */
   std::map<std::size_t, Results> runWithFifoQueue() {
     std::deque<std::uint64_t> queue;
     std::uint32_t running = 0;
@@ -162,24 +164,25 @@
 
 } // namespace
 
-// Guards against an overload in which the server is busy all the time with work
-// that is late when it ends: 1.3 times what the server bears, of two kinds that
-// are worth the same. In order of arrival nearly nothing is in time.
-TEST_CASE("under a lasting overload work is in time", "[overload]") {
+// Guards against a server that is always busy with requests that are late when
+// they end. The load is 1.3 times the server's capacity; served in order of
+// arrival nearly no request is in time.
+TEST_CASE("requests are in time under sustained overload", "[overload]") {
   const Workload workload{12, {{2, 260, 60, 200, 1200}}};
   const auto queued = ServerSimulation(workload).runWithFifoQueue();
   const auto gated = ServerSimulation(workload).runWithGate();
   INFO("in order of arrival: " << inTimeRatio(queued.at(0))
                                << ", gate: " << inTimeRatio(gated.at(0)));
-  // The server bears 200 of 260 a second.
+  // The server can serve 200 of the 260 requests per second.
   CHECK(inTimeRatio(gated.at(0)) > 0.6);
   CHECK(inTimeRatio(gated.at(0)) > 2 * inTimeRatio(queued.at(0)));
 }
 
-// Guards against urgent work that is late since less urgent work is served, and
-// against less urgent work that gets nothing: the mix of a service whose other
-// servers are gone.
-TEST_CASE("urgent work is in time and the rest is not starved", "[overload]") {
+// Guards against high-priority requests that are late because others are served
+// first, and against low-priority requests that are never served. The mix is
+// that of a service whose other servers are gone.
+TEST_CASE("high-priority requests are in time and others are not starved",
+          "[overload]") {
   const Workload workload{
       12,
       {{0, 142, 42, 150, 1000}, {1, 330, 15, 60, 200}, {2, 57, 48, 150, 1000}}};
@@ -197,14 +200,14 @@
   }
 }
 
-// Guards against a repeated attempt that is taken for a new request, which goes
-// before others that can still be in time.
+// Guards against a retry that is taken for a new request and therefore runs
+// before requests that can still be in time.
 TEST_CASE("the age of a request counts from its first attempt", "[overload]") {
   AttemptAgeEstimator estimator;
   for (int i = 0; i < 40; ++i) {
     estimator.recordAttempt("r", milliseconds(1000));
     estimator.recordAttempt("r", milliseconds(400 + i));
-    // A client with more patience than the others.
+    // A client with a longer timeout than the others.
     if (i % 10 == 0) {
       estimator.recordAttempt("r", milliseconds(3000));
     }
@@ -216,18 +219,20 @@
         Duration::zero());
 }
 
-// Guards against a server, a version or a route that is blamed for calls that
-// another service refused, and against a real fault that is excused.
+// Guards against errors that are counted against a server, version or route
+// although another service refused its calls, and against errors of the server
+// itself that are not counted.
 TEST_CASE("errors after refused calls are told from others", "[overload]") {
   RefusedCallTracker tracker;
   int matched = 0;
   for (std::int64_t i = 0; i < 100; ++i) {
     const auto ms = i * 50;
-    // A client is refused; then a call, and the server fails.
+    // A client request is refused, then a call of the server, which then
+    // returns an error.
     tracker.recordRefusal("client", at(ms));
     tracker.recordRefusal("call", at(ms + 20));
     matched += tracker.matchError(at(ms + 22)) ? 1 : 0;
-    // An error of the server's own.
+    // An error that the server caused itself.
     CHECK_FALSE(tracker.matchError(at(ms + 40)));
   }
   CHECK(matched > 90);
@@ -235,9 +240,10 @@
   CHECK_FALSE(tracker.isOutboundRoute("client"));
 }
 
-// Guards against requests that wait although they will be late: clients that
-// send others behind them get no answer to those before.
-TEST_CASE("late work does not wait in vain", "[overload]") {
+// Guards against long queues of requests that will be late. Answers on a
+// connection are in order, so that each of them delays the answers to the
+// requests that the client sent after it.
+TEST_CASE("requests that will be late do not fill the queue", "[overload]") {
   SlotGate gate;
   gate.open(4, 0);
   const auto request = [](std::uint64_t id, std::int64_t inTimeUntil) {
@@ -247,11 +253,12 @@
   while (id < 4) {
     CHECK(gate.admit(request(++id, 200), at(0)).Kind == Admitted::Run);
   }
-  // Late on arrival: two wait, further ones are refused at once.
+  // Late on arrival: two are queued, further ones are rejected at once.
   CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
   CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
   CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Rejected);
-  // Those in time still find room, and are refused once they will be late.
+  // Requests in time are still queued, and expire once they will be late and
+  // are beyond the bound for late requests.
   while (id < 11) {
     CHECK(gate.admit(request(++id, 300), at(0)).Kind == Admitted::Queued);
   }
