--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -13,7 +13,8 @@
 
 TimePoint at(std::int64_t ms) { return TimePoint(milliseconds(ms)); }
 
-/** Two servers here and two in another data centre; this daemon has none. */
+/** Two servers in this data centre and two in another one. This daemon has no
+ * server. */
 struct PlacementFixture {
   platform::OperatorRecords Codec;
   OperatorState Orders{Codec};
@@ -38,7 +39,7 @@
     Servers.refresh();
   }
 
-  /** Gives v2 a share of the requests. */
+  /** Starts a rollout of v2, with a share in basis points. */
   void startRollout(std::uint32_t share, std::uint64_t offset = 10) {
     Orders.apply({"rollout/s", R"({"targetVersion":"v2","durationS":9})", 3});
     RolloutProgress progress;
@@ -60,7 +61,7 @@
     return Servers.choose(request, at(ms));
   }
 
-  /** Lets a server answer one call, and tell the load of its gate. */
+  /** Records an answer of a server with the reported load of its gate. */
   void recordAnswer(const std::string &ip, std::uint32_t inFlight,
                     std::uint32_t queued, std::int64_t ms) {
     const Address peer{ip, 1};
@@ -79,10 +80,10 @@
 
 } // namespace
 
-// Guards against requests whose bytes cross data centres although they would be
-// answered in time at home, and against ones that are late at home while there
-// is room elsewhere and their worth pays for it.
-TEST_CASE("work stays in its data centre until it would be late",
+// Guards against requests that cross data centres although a local server would
+// answer in time, and against requests that are late locally although a remote
+// server is free and their worth exceeds the cost of the transfer.
+TEST_CASE("requests stay in their data centre until they would be late",
           "[placement]") {
   PlacementFixture f;
   for (const auto *ip : {"10.0.0.1", "10.0.0.2"}) {
@@ -100,9 +101,9 @@
   CHECK_FALSE(isLocal(f.choose(3, 0)));
 }
 
-// Guards against work that waits elsewhere as it would here, and crosses data
-// centres for nothing.
-TEST_CASE("a full server elsewhere is not used", "[placement]") {
+// Guards against requests that cross data centres only to wait in the queue of
+// a full server, as they would locally.
+TEST_CASE("a full server of another data centre is not used", "[placement]") {
   PlacementFixture f;
   for (const auto *ip : {"10.0.0.1", "10.0.0.2", "10.1.0.1", "10.1.0.2"}) {
     f.recordAnswer(ip, 4, 16, 0);
@@ -112,9 +113,9 @@
   CHECK_FALSE(f.choose(1, 0).Peer);
 }
 
-// Guards against urgent work that finds no server since less urgent work was
-// refused there, and against a closed gate that is asked again at once.
-TEST_CASE("a refusal binds no more urgent work", "[placement]") {
+// Guards against high-priority requests that find no server because servers
+// refused lower priorities, and against an immediate retry at a closed gate.
+TEST_CASE("a refusal does not affect higher priorities", "[placement]") {
   PlacementFixture f;
   GateState full;
   full.Limit = 4;
@@ -136,8 +137,8 @@
   }
 }
 
-// Guards against a data centre that operators emptied, a server that drains and
-// a version without a share.
+// Guards against requests to an evacuated data centre, and to a version that
+// has no share.
 TEST_CASE("servers that must get nothing get nothing", "[placement]") {
   PlacementFixture f;
   f.Orders.apply({"evacuate/local", "{}", 1});
@@ -147,8 +148,8 @@
   CHECK_FALSE(f.choose(1).Peer);
 }
 
-// Guards against a new version that gets more than its share of what servers
-// get while the gates of the old version refuse much of the work.
+// Guards against a new version that gets more than its share of the requests
+// that servers receive, while the gates of the old version refuse many.
 TEST_CASE("refused requests do not count for a rollout's share",
           "[placement]") {
   PlacementFixture f;
@@ -173,9 +174,9 @@
   CHECK(atTarget >= reached / 10 - 2);
 }
 
-// Guards against a version that fails only under load and is found when half
-// of all requests go there, since a small share over all of its servers is no
-// load.
+// Guards against a version that fails only under load and is detected only when
+// half of all requests go there, because a small share spread over all of its
+// servers puts no real load on any of them.
 TEST_CASE("a small share loads few servers of the target", "[placement]") {
   PlacementFixture f;
   for (const auto *ip : {"10.0.0.3", "10.0.0.4", "10.1.0.3", "10.1.0.4"}) {
