--- a/tests/unit/slot_gate_test.cpp
+++ b/tests/unit/slot_gate_test.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-// Guards against a server that gets more than its slots: some never answer what
-// they cannot queue.
+// Guards against more concurrent requests than a server has slots. Some servers
+// never answer requests that they cannot queue.
 TEST_CASE("concurrency stays within the slots", "[slot_gate]") {
   SlotGate gate;
   CHECK(gate.admit(request(1), at(0)).Kind == Admitted::Rejected);
@@ -33,8 +33,8 @@
   CHECK(gate.state(at(2)).InFlight == 2);
 }
 
-// Guards against less urgent work that is served before urgent work.
-TEST_CASE("urgent work goes first", "[slot_gate]") {
+// Guards against low-priority requests that run before those of high priority.
+TEST_CASE("requests run in order of priority", "[slot_gate]") {
   SlotGate gate;
   gate.open(1, 0);
   gate.admit(request(1), at(0));
@@ -52,9 +52,10 @@
   CHECK(order == std::vector<std::uint64_t>{3, 4, 2});
 }
 
-// Guards against less urgent work that never runs: urgent work arrives as fast
-// as the server works, one request in six is less urgent and must get through.
-TEST_CASE("less urgent work is not starved", "[slot_gate]") {
+// Guards against low-priority requests that never run. High-priority requests
+// arrive as fast as the server can run them, with one low-priority request for
+// every six, and enough of the latter must still run.
+TEST_CASE("low-priority requests are not starved", "[slot_gate]") {
   SlotGate gate;
   gate.open(1, 0);
   std::uint64_t id = 0;
@@ -82,8 +83,10 @@
   CHECK(lowPriorityStarts > 100);
 }
 
-// Guards against work that waits although it cannot end in time.
-TEST_CASE("hopeless work is refused at once", "[slot_gate]") {
+// Guards against requests that are queued although they cannot end before their
+// deadline.
+TEST_CASE("a request that cannot meet its deadline is rejected at once",
+          "[slot_gate]") {
   SlotGate gate;
   gate.open(1, 0);
   gate.admit(request(1), at(0));
@@ -98,9 +101,10 @@
   CHECK(gate.expire(at(350)) == std::vector<GateRequestId>{GateRequestId{4}});
 }
 
-// Guards against a request that is neither started nor refused after it has
-// turned late: it would be held until its caller gives up.
-TEST_CASE("work that turns late is kept", "[slot_gate]") {
+// Guards against a queued request that is neither started nor rejected after it
+// has turned late. Its caller would wait until its own timeout.
+TEST_CASE("a queued request that turns late is still started or rejected",
+          "[slot_gate]") {
   SlotGate gate;
   gate.open(2, 0);
   const auto admit = [&gate](std::uint64_t id, std::uint32_t priority,
@@ -133,8 +137,8 @@
   CHECK(gate.state(at(500)).Queued == 0);
 }
 
-// Guards against a cold server that falls over: in no second may it get more
-// than the rate that it states, however fast it answers.
+// Guards against overload of a cold server. In no period of one second may it
+// get more requests than its stated rate, however fast it answers.
 TEST_CASE("a cold server gets its rate", "[slot_gate]") {
   SlotGate gate;
   gate.open(18, 0);
