--- a/include/chivefold/sidecar/backend_service.h
+++ b/include/chivefold/sidecar/backend_service.h
@@ -114,7 +114,7 @@
 
   /** @return the record of requests from this host that failed. The backend
    * server may have made some of them, which can explain its own errors. */
-  RefusedCalls &refusedCalls() { return Refused; }
+  RefusedCallTracker &refusedCalls() { return Refused; }
 
   const BackendServerState &server() const { return Server; }
   GateState gate() const { return Gate.state(Loop.now()); }
@@ -196,7 +196,7 @@
   std::uint64_t NextCall = 0;
   TimerId Timer = TimerId::None;
   TimePoint TimerAt{};
-  RefusedCalls Refused;
+  RefusedCallTracker Refused;
   /** Requests whose connections broke since the server last answered. */
   std::vector<RequestDigest> Interrupted;
   TimePoint InterruptedAt{};
--- a/include/chivefold/sidecar/proxy_service.h
+++ b/include/chivefold/sidecar/proxy_service.h
@@ -96,7 +96,7 @@
   /** By service; bounded by the services of the configuration. */
   std::map<std::string, RetryTokens, std::less<>> Tokens;
   ServiceSplit Split;
-  AttemptAge Ages;
+  AttemptAgeEstimator Ages;
   Logger Lines{"proxy"};
 };
 
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -195,7 +195,7 @@
     return id;
   }
   const auto offer =
-      Gate.offer({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
+      Gate.admit({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
                  Loop.now());
   if (offer.Kind == Admitted::Rejected) {
     refuse(reply, offer.Code, offer.RetryAfter);
@@ -284,7 +284,7 @@
   auto result = resultOf(it->second, outcome);
   result.CallRefused = result.Result == Outcome::Answered &&
                        result.Status >= FirstServerError &&
-                       Refused.explains(Loop.now());
+                       Refused.matchError(Loop.now());
   count(it->second, result, latency);
   recordInterruption(it->second, result);
   const bool answered = result.Result == Outcome::Answered;
@@ -429,7 +429,7 @@
 }
 
 void BackendService::armTimer() {
-  const auto next = Gate.nextChange(Loop.now());
+  const auto next = Gate.nextWakeUp(Loop.now());
   if (!next) {
     return;
   }
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -163,8 +163,9 @@
   if (route.TargetLatency <= Duration::zero()) {
     return TimePoint::max();
   }
-  const auto age = client.TimeLeft ? Ages.note(route.Name, *client.TimeLeft)
-                                   : Duration::zero();
+  const auto age = client.TimeLeft
+                       ? Ages.recordAttempt(route.Name, *client.TimeLeft)
+                       : Duration::zero();
   return now + route.TargetLatency - age;
 }
 
@@ -261,7 +262,7 @@
   const auto now = Loop.now();
   auto &servers = Parts.Servers;
   if (end == AttemptEnd::RefusedByGate || end == AttemptEnd::NotSent) {
-    servers.notReached(request.Peer);
+    servers.notDelivered(request.Peer);
   }
   switch (end) {
   case AttemptEnd::Answered:
@@ -295,11 +296,11 @@
   facts.Status = result.Status;
   facts.CallRefused = result.CallRefused;
   facts.Kind = request->Route->Kind;
-  facts.Runs = request->Runs;
-  facts.MaxRuns = request->Route->MaxAttempts;
+  facts.PossibleRuns = request->Runs;
+  facts.MaxPossibleRuns = request->Route->MaxAttempts;
   facts.Attempts = request->Attempts;
   facts.TimeLeft = request->Deadline - now;
-  facts.Expected = Parts.Servers.expected(request->Route->Name);
+  facts.ExpectedLatency = Parts.Servers.expectedLatency(request->Route->Name);
   const auto step =
       AttemptPolicy::next(facts, tokens(request->Call.Service), now);
   if (end != AttemptEnd::Answered || step != NextStep::Deliver) {
@@ -314,9 +315,9 @@
                 {"slots", std::uint64_t{result.Gate.Limit}},
                 {"in_flight", std::uint64_t{result.Gate.InFlight}},
                 {"queued", std::uint64_t{result.Gate.Queued}},
-                {"expected_ms", toMs(facts.Expected)},
+                {"expected_ms", toMs(facts.ExpectedLatency)},
                 {"left_ms", toMs(facts.TimeLeft)},
-                {"again", step == NextStep::TryAgain ? "yes" : "no"}});
+                {"again", step == NextStep::Retry ? "yes" : "no"}});
   }
   if (end == AttemptEnd::RefusedByGate || end == AttemptEnd::NoServer) {
     request->RetryAfter =
@@ -325,7 +326,7 @@
             : std::min(request->RetryAfter, result.RetryAfter);
   }
   switch (step) {
-  case NextStep::TryAgain:
+  case NextStep::Retry:
     if (end == AttemptEnd::Answered) {
       request->ErrorAnswer = std::move(result);
     }
@@ -429,7 +430,7 @@
   sample.Latency = held;
   Parts.CallMetrics.record(now, sample);
   if (outcome != Outcome::Answered) {
-    Parts.Backend.refusedCalls().note(request->Route->Name, now);
+    Parts.Backend.refusedCalls().recordRefusal(request->Route->Name, now);
     Lines.info("request failed",
                {{"request", request->Call.RequestId},
                 {"route", request->Route->Name},
