--- a/include/chivefold/mesh/announce_plan.h
+++ b/include/chivefold/mesh/announce_plan.h
@@ -18,7 +18,7 @@
 struct AnnounceTarget {
   Address Peer;
   /** It passes the announcement on within its data centre. */
-  bool Relays = false;
+  bool IsRelay = false;
 };
 
 /**
@@ -32,7 +32,7 @@
 class AnnouncePlan {
 public:
   /** Relays of a data centre. */
-  static constexpr std::size_t Relays = 2;
+  static constexpr std::size_t RelaysPerDataCentre = 2;
 
   /** @param own address and @param dataCentre of this host. */
   AnnouncePlan(const FleetTable &fleet, Address own, std::string dataCentre,
@@ -44,13 +44,14 @@
   /** @return to whom this host passes on the news of @p origin. */
   std::vector<Address> relayTargets(const Address &origin) const;
 
-  /** @return up to @p own hosts of this data centre and @p others of each other
-   * one, drawn at random. */
-  std::vector<Address> sample(std::size_t own, std::size_t others);
+  /** @return up to @p localCount hosts of this data centre and @p
+   * perRemoteDataCentre of each other one, drawn at random. */
+  std::vector<Address> sampleHosts(std::size_t localCount,
+                                   std::size_t perRemoteDataCentre);
 
   /** @return whether to ask @p peer for bulky content now: it is in this data
    * centre, or no other host of this one can be reached. */
-  bool isNear(const Address &peer) const;
+  bool isPreferredSource(const Address &peer) const;
 
 private:
   using ByDataCentre = std::map<std::string, std::vector<Address>>;
--- a/src/mesh/announce_plan.cpp
+++ b/src/mesh/announce_plan.cpp
@@ -28,28 +28,33 @@
   std::vector<AnnounceTarget> out;
   for (auto &it : shuffledHosts()) {
     auto &hosts = it.second;
-    const bool relays = it.first != DataCentre && hosts.size() > Relays;
-    if (relays) {
-      hosts.resize(Relays);
+    const bool useRelays =
+        it.first != DataCentre && hosts.size() > RelaysPerDataCentre;
+    if (useRelays) {
+      hosts.resize(RelaysPerDataCentre);
     }
     for (auto &host : hosts) {
-      out.push_back({std::move(host), relays});
+      out.push_back({std::move(host), useRelays});
     }
   }
   return out;
 }
 
-std::vector<Address> AnnouncePlan::sample(std::size_t own, std::size_t others) {
+std::vector<Address>
+AnnouncePlan::sampleHosts(std::size_t localCount,
+                          std::size_t perRemoteDataCentre) {
   std::vector<Address> out;
   for (auto &it : shuffledHosts()) {
     auto &hosts = it.second;
-    hosts.resize(std::min(hosts.size(), it.first == DataCentre ? own : others));
+    hosts.resize(std::min(hosts.size(), it.first == DataCentre
+                                            ? localCount
+                                            : perRemoteDataCentre));
     std::move(hosts.begin(), hosts.end(), std::back_inserter(out));
   }
   return out;
 }
 
-bool AnnouncePlan::isNear(const Address &peer) const {
+bool AnnouncePlan::isPreferredSource(const Address &peer) const {
   const auto isLocal = [this](const HostEntry &it) {
     return it.reachable() && it.State.DataCentre == DataCentre;
   };
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -152,7 +152,7 @@
   // Deaths spread by themselves; greetings repeat them.
   news.deaths.clear();
   for (const auto &it : Plan.targets()) {
-    pass(it.Peer, news, it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
+    pass(it.Peer, news, it.IsRelay ? HelloRoute::ToRelay : HelloRoute::Direct);
   }
 }
 
@@ -167,7 +167,8 @@
     return;
   }
   auto greeting = hello();
-  if (AddressesDiffer && Loop.now() >= NextAddresses && Plan.isNear(peer)) {
+  if (AddressesDiffer && Loop.now() >= NextAddresses &&
+      Plan.isPreferredSource(peer)) {
     greeting.wants_addresses = true;
     NextAddresses = Loop.now() + AddressPause;
     AddressPause = std::min(2 * AddressPause, MaxAddressPause);
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -170,7 +170,7 @@
 }
 
 void OrderFeed::learnOfMore(const Address &peer, std::uint64_t end) {
-  if (!Fetching && Parts.Plan.isNear(peer)) {
+  if (!Fetching && Parts.Plan.isPreferredSource(peer)) {
     return fetch(peer);
   }
   Sources.push_back({peer, end});
@@ -221,7 +221,8 @@
   wire::OrdersNoticeT notice;
   notice.from = addressToWire(Own);
   notice.end = State.end();
-  for (const auto &it : Parts.Plan.sample(NoticeFanout, perOtherDataCentre)) {
+  for (const auto &it :
+       Parts.Plan.sampleHosts(NoticeFanout, perOtherDataCentre)) {
     Parts.Network.send(it, frameBody(notice));
   }
 }
--- a/tests/unit/announce_plan_test.cpp
+++ b/tests/unit/announce_plan_test.cpp
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 constexpr std::size_t DataCentres = 5;
-constexpr std::size_t HostsEach = 59;
+constexpr std::size_t HostsPerDataCentre = 59;
 constexpr TimePoint Start{seconds(100)};
 
 Address hostAt(std::size_t n) {
@@ -30,12 +30,12 @@
 }
 
 /** All hosts, each of which knows all others. */
-struct Hosts {
-  Hosts() {
-    for (std::size_t i = 0; i < DataCentres * HostsEach; ++i) {
+struct SimulatedFleet {
+  SimulatedFleet() {
+    for (std::size_t i = 0; i < DataCentres * HostsPerDataCentre; ++i) {
       Index[hostAt(i)] = i;
       Tables.push_back(std::make_unique<FleetTable>(i));
-      for (std::size_t j = 0; j < DataCentres * HostsEach; ++j) {
+      for (std::size_t j = 0; j < DataCentres * HostsPerDataCentre; ++j) {
         Tables.back()->update(stateOf(j, 1), Start);
       }
       Plans.push_back(std::make_unique<AnnouncePlan>(
@@ -48,13 +48,13 @@
     const auto state = stateOf(0, 2);
     for (const auto &it : Plans[0]->targets()) {
       const auto to = Index.at(it.Peer);
-      CrossDataCentre += to % DataCentres != 0 ? 1 : 0;
+      CrossDataCentreMessages += to % DataCentres != 0 ? 1 : 0;
       ++Messages;
       if (std::find(lost.begin(), lost.end(), to) != lost.end()) {
         continue;
       }
       Tables[to]->update(state, Start + seconds(1));
-      if (!it.Relays) {
+      if (!it.IsRelay) {
         continue;
       }
       for (const auto &next : Plans[to]->relayTargets(state.Peer)) {
@@ -65,7 +65,7 @@
     }
   }
 
-  std::size_t knowing() const {
+  std::size_t updatedTableCount() const {
     return static_cast<std::size_t>(
         std::count_if(Tables.begin(), Tables.end(), [](const auto &it) {
           return it->find(hostAt(0))->State.Sequence == 2;
@@ -76,7 +76,7 @@
   std::vector<std::unique_ptr<FleetTable>> Tables;
   std::vector<std::unique_ptr<AnnouncePlan>> Plans;
   std::size_t Messages = 0;
-  std::size_t CrossDataCentre = 0;
+  std::size_t CrossDataCentreMessages = 0;
 };
 
 } // namespace
@@ -85,22 +85,24 @@
 // fleet: each change of a host was sent to every other one.
 TEST_CASE("news crosses to each data centre a bounded number of times",
           "[announce]") {
-  Hosts fleet;
+  SimulatedFleet fleet;
   fleet.announce({});
   // All but the host itself, whose table is not told.
-  CHECK(fleet.knowing() == DataCentres * HostsEach - 1);
-  CHECK(fleet.CrossDataCentre == (DataCentres - 1) * AnnouncePlan::Relays);
-  CHECK(fleet.Messages < DataCentres * HostsEach * (AnnouncePlan::Relays + 1));
+  CHECK(fleet.updatedTableCount() == DataCentres * HostsPerDataCentre - 1);
+  CHECK(fleet.CrossDataCentreMessages ==
+        (DataCentres - 1) * AnnouncePlan::RelaysPerDataCentre);
+  CHECK(fleet.Messages < DataCentres * HostsPerDataCentre *
+                             (AnnouncePlan::RelaysPerDataCentre + 1));
 }
 
 // Guards against news that one lost relay keeps from a data centre.
 TEST_CASE("one relay of each data centre is enough", "[announce]") {
-  Hosts fleet;
-  AnnouncePlan same(*fleet.Tables[0], hostAt(0), "dc0", 1);
+  SimulatedFleet fleet;
+  AnnouncePlan identicalPlan(*fleet.Tables[0], hostAt(0), "dc0", 1);
   std::map<std::string, std::size_t> firstRelays;
-  for (const auto &it : same.targets()) {
+  for (const auto &it : identicalPlan.targets()) {
     const auto n = fleet.Index.at(it.Peer);
-    if (it.Relays) {
+    if (it.IsRelay) {
       firstRelays.emplace(stateOf(n, 1).DataCentre, n);
     }
   }
@@ -111,7 +113,7 @@
     lost.push_back(it.second);
   }
   fleet.announce(lost);
-  CHECK(fleet.knowing() == DataCentres * HostsEach - 1);
+  CHECK(fleet.updatedTableCount() == DataCentres * HostsPerDataCentre - 1);
 }
 
 // Guards against a server that left and is used again, since a copy of an older
