--- a/include/chivefold/mesh/announce_plan.h
+++ b/include/chivefold/mesh/announce_plan.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * To whom a daemon sends the news of its host.
+ * Selects the receivers of host announcements.
  */
 #ifndef CHIVEFOLD_MESH_ANNOUNCE_PLAN_H
 #define CHIVEFOLD_MESH_ANNOUNCE_PLAN_H
@@ -14,48 +14,53 @@
 
 namespace chivefold {
 
-/** A receiver of an announcement. */
+/** Receiver of an announcement. */
 struct AnnounceTarget {
   Address Peer;
-  /** It passes the announcement on within its data centre. */
+  /** Whether the receiver forwards the announcement to the other hosts of its
+   * data centre. */
   bool IsRelay = false;
 };
 
 /**
- * Hosts of the own data centre get an announcement directly, and each other one
- * through a few relays drawn at random, so that the bytes between data centres
- * grow with the number of these and not with that of hosts. With two relays
- * the news of a host is missed only if both fail; probes find that. The scheme
- * is the hierarchical multicast of van Renesse et al., Astrolabe (2003), with
- * random representatives. Not thread-safe.
+ * Hierarchical multicast of announcements, after Astrolabe (van Renesse et al.,
+ * 2003), with random representatives. Hosts of the local data centre receive an
+ * announcement directly. Each remote data centre receives it through a few
+ * randomly chosen relays, so that traffic between data centres grows with the
+ * number of data centres and not with the number of hosts. With two relays, a
+ * data centre misses an announcement only if both relays fail; periodic probes
+ * then deliver the new state. Not thread-safe.
  */
 class AnnouncePlan {
 public:
-  /** Relays of a data centre. */
+  /** Relays used for each remote data centre. */
   static constexpr std::size_t RelaysPerDataCentre = 2;
 
-  /** @param own address and @param dataCentre of this host. */
+  /** @param own address of this host.
+   * @param dataCentre data centre of this host. */
   AnnouncePlan(const FleetTable &fleet, Address own, std::string dataCentre,
                std::uint64_t seed);
 
-  /** @return receivers of the news of this host. */
+  /** @return the hosts to which this host sends its own announcements. */
   std::vector<AnnounceTarget> targets();
 
-  /** @return to whom this host passes on the news of @p origin. */
+  /** @return the hosts to which this host, as a relay, forwards an
+   * announcement of @p origin. */
   std::vector<Address> relayTargets(const Address &origin) const;
 
-  /** @return up to @p localCount hosts of this data centre and @p
-   * perRemoteDataCentre of each other one, drawn at random. */
+  /** @return randomly chosen reachable hosts: up to @p localCount of this data
+   * centre and up to @p perRemoteDataCentre of each other data centre. */
   std::vector<Address> sampleHosts(std::size_t localCount,
                                    std::size_t perRemoteDataCentre);
 
-  /** @return whether to ask @p peer for bulky content now: it is in this data
-   * centre, or no other host of this one can be reached. */
+  /** @return whether to request bulk data from @p peer: it is a reachable host
+   * of this data centre, or this data centre has no other reachable host. */
   bool isPreferredSource(const Address &peer) const;
 
 private:
   using ByDataCentre = std::map<std::string, std::vector<Address>>;
 
+  /** @return all reachable hosts but this one, in random order. */
   ByDataCentre shuffledHosts();
 
   const FleetTable &Fleet;
--- a/src/mesh/announce_plan.cpp
+++ b/src/mesh/announce_plan.cpp
@@ -10,7 +10,6 @@
     : Fleet(fleet), Own(std::move(own)), DataCentre(std::move(dataCentre)),
       Random(seed) {}
 
-// Reachable hosts in random order.
 AnnouncePlan::ByDataCentre AnnouncePlan::shuffledHosts() {
   ByDataCentre out;
   for (const auto &it : Fleet.hosts()) {
--- a/tests/unit/announce_plan_test.cpp
+++ b/tests/unit/announce_plan_test.cpp
@@ -29,7 +29,7 @@
   return out;
 }
 
-/** All hosts, each of which knows all others. */
+/** A fleet in which each host's table contains all hosts. */
 struct SimulatedFleet {
   SimulatedFleet() {
     for (std::size_t i = 0; i < DataCentres * HostsPerDataCentre; ++i) {
@@ -43,7 +43,8 @@
     }
   }
 
-  /** Announces a new state of host 0, which does not reach @p lost. */
+  /** Announces a new state of host 0; messages to the hosts @p lost are
+   * dropped. */
   void announce(const std::vector<std::size_t> &lost) {
     const auto state = stateOf(0, 2);
     for (const auto &it : Plans[0]->targets()) {
@@ -81,13 +82,14 @@
 
 } // namespace
 
-// Guards against bytes between data centres that grow with the square of the
-// fleet: each change of a host was sent to every other one.
-TEST_CASE("news crosses to each data centre a bounded number of times",
-          "[announce]") {
+// Guards against traffic between data centres that grows with the square of the
+// fleet size, as when each change of a host is sent to every other host.
+TEST_CASE(
+    "an announcement crosses to each data centre a bounded number of times",
+    "[announce]") {
   SimulatedFleet fleet;
   fleet.announce({});
-  // All but the host itself, whose table is not told.
+  // The table of host 0 itself is not updated by its announcement.
   CHECK(fleet.updatedTableCount() == DataCentres * HostsPerDataCentre - 1);
   CHECK(fleet.CrossDataCentreMessages ==
         (DataCentres - 1) * AnnouncePlan::RelaysPerDataCentre);
@@ -95,7 +97,8 @@
                              (AnnouncePlan::RelaysPerDataCentre + 1));
 }
 
-// Guards against news that one lost relay keeps from a data centre.
+// Guards against a data centre that misses an announcement because one of its
+// relays is lost.
 TEST_CASE("one relay of each data centre is enough", "[announce]") {
   SimulatedFleet fleet;
   AnnouncePlan identicalPlan(*fleet.Tables[0], hostAt(0), "dc0", 1);
@@ -116,8 +119,9 @@
   CHECK(fleet.updatedTableCount() == DataCentres * HostsPerDataCentre - 1);
 }
 
-// Guards against a server that left and is used again, since a copy of an older
-// state, or of an earlier start of its daemon, came by another host.
+// Guards against requests to a server that has left: a relayed copy of an older
+// state, or of the state of an earlier start of its daemon, must not replace
+// the current state.
 TEST_CASE("a state that was passed on is taken only if it is newer",
           "[announce]") {
   FleetTable table(1);
@@ -129,7 +133,7 @@
   earlierStart.BootId = 77;
   CHECK(table.updateFromOther(earlierStart, Start) == Hearsay::Unsure);
   CHECK(table.find(hostAt(3))->State.Sequence == 4);
-  // A copy says nothing of whether this daemon can reach the host.
+  // A stale copy is no evidence that this daemon can reach the host.
   table.failed(hostAt(3), Start + seconds(1));
   CHECK(table.updateFromOther(stateOf(3, 4), Start) == Hearsay::Old);
   CHECK_FALSE(table.find(hostAt(3))->reachable());
