--- a/include/chivefold/mesh/rollout_driver.h
+++ b/include/chivefold/mesh/rollout_driver.h
@@ -44,7 +44,7 @@
 };
 
 struct RolloutSettings {
-  ExposureTerms Exposure;
+  ExposureLimit Exposure;
   /** Share before the rate of requests is known. */
   std::uint32_t FirstShare = 300;
   /** Bounds of the share while the version is tested. */
@@ -82,7 +82,7 @@
 
 /** @return the settings with bounds that fit rollouts of some seconds: servers
  * of one service differ in speed, and new ones start cold. */
-RolloutSettings quickRolloutSettings(const ExposureTerms &exposure = {});
+RolloutSettings quickRolloutSettings(const ExposureLimit &exposure = {});
 
 /** The rollout as the driver sees it. */
 struct RolloutView {
--- a/include/chivefold/sidecar/sidecar_settings.h
+++ b/include/chivefold/sidecar/sidecar_settings.h
@@ -31,7 +31,7 @@
   std::string LogLevel = "info";
   /** Time that a planned stop may take. */
   /** Requests that a version may get before it is completed. */
-  ExposureTerms Exposure;
+  ExposureLimit Exposure;
   Duration GracePeriod = std::chrono::seconds(6);
   /** Where the settings file lies; "" if there is none. */
   std::string File;
--- a/src/mesh/exposure_budget.cpp
+++ b/src/mesh/exposure_budget.cpp
@@ -7,54 +7,61 @@
 
 namespace {
 
+constexpr double MinSpreadSeconds = 0.3;
+
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
 } // namespace
 
-ExposureBudget::ExposureBudget(const ExposureTerms &terms) : Terms(terms) {}
+ExposureBudget::ExposureBudget(const ExposureLimit &limit) : Limit(limit) {}
 
-void ExposureBudget::note(TimePoint now, double allCalls, double newCalls,
-                          double part) {
-  if (At == TimePoint{}) {
-    FirstAt = now;
-    FirstCalls = allCalls;
-  } else if (now > At) {
-    const double passed = seconds(now - At);
-    const double present = std::max(0.0, allCalls - AllCalls) / passed;
+void ExposureBudget::update(TimePoint now, double allCalls, double newCalls,
+                            double fraction) {
+  if (UpdatedAt == TimePoint{}) {
+    FirstUpdateAt = now;
+    InitialCalls = allCalls;
+  } else if (now > UpdatedAt) {
+    const double elapsed = seconds(now - UpdatedAt);
+    const double currentRate = std::max(0.0, allCalls - AllCalls) / elapsed;
     // The plain mean at first, so that one short interval does not count much.
-    const double known = seconds(now - FirstAt);
-    const double weight = std::max(1 - std::exp(-passed / seconds(RateTime)),
-                                   std::min(1.0, passed / known));
-    Rate += weight * (present - Rate);
-    Modelled += Part * Rate * passed;
+    const double measured = seconds(now - FirstUpdateAt);
+    const double weight =
+        std::max(1 - std::exp(-elapsed / seconds(RateTimeConstant)),
+                 std::min(1.0, elapsed / measured));
+    Rate += weight * (currentRate - Rate);
+    ModelledNewCalls += Fraction * Rate * elapsed;
   }
-  At = now;
+  UpdatedAt = now;
   AllCalls = std::max(AllCalls, allCalls);
   NewCalls = std::max(NewCalls, newCalls);
-  Part = part;
+  Fraction = fraction;
 }
 
 // Requests that the new version may still get.
-double ExposureBudget::left(TimePoint deadline, TimePoint now) const {
-  const double ahead = std::max(0.0, seconds(deadline - now));
-  const double all = AllCalls - FirstCalls + Rate * ahead;
-  const double spent = std::max(NewCalls, Modelled);
-  return SharePart * Terms.Share * all + SlackPart * Terms.Slack - spent;
+double ExposureBudget::remaining(TimePoint deadline, TimePoint now) const {
+  const double timeLeft = std::max(0.0, seconds(deadline - now));
+  const double all = AllCalls - InitialCalls + Rate * timeLeft;
+  const double spent = std::max(NewCalls, ModelledNewCalls);
+  return UsableShareFraction * Limit.Share * all +
+         UsableSlackFraction * Limit.Slack - spent;
 }
 
-double ExposureBudget::partUntil(TimePoint fullFrom, TimePoint deadline,
-                                 TimePoint now) const {
-  const double needed =
-      Surge * Rate * std::max(0.0, seconds(deadline - fullFrom));
+double ExposureBudget::fractionUntil(TimePoint fullTrafficFrom,
+                                     TimePoint deadline, TimePoint now) const {
+  const double reserved =
+      BacklogFactor * Rate * std::max(0.0, seconds(deadline - fullTrafficFrom));
   // A moment at least, so that the part stays finite as that time comes.
-  const double ahead = std::max(0.3, seconds(fullFrom - now));
-  return std::clamp(
-      (left(deadline, now) - needed) / std::max(1.0, Rate * ahead), 0.0, 1.0);
+  const double timeLeft =
+      std::max(MinSpreadSeconds, seconds(fullTrafficFrom - now));
+  return std::clamp((remaining(deadline, now) - reserved) /
+                        std::max(1.0, Rate * timeLeft),
+                    0.0, 1.0);
 }
 
-bool ExposureBudget::coversAll(TimePoint deadline, TimePoint now) const {
-  const double ahead = std::max(0.0, seconds(deadline - now));
-  return Rate > 0 && Rate * ahead <= left(deadline, now);
+bool ExposureBudget::coversFullTraffic(TimePoint deadline,
+                                       TimePoint now) const {
+  const double timeLeft = std::max(0.0, seconds(deadline - now));
+  return Rate > 0 && Rate * timeLeft <= remaining(deadline, now);
 }
 
 } // namespace chivefold
--- a/src/mesh/rollout_driver.cpp
+++ b/src/mesh/rollout_driver.cpp
@@ -43,7 +43,7 @@
   return ActionNames[static_cast<std::size_t>(action)];
 }
 
-RolloutSettings quickRolloutSettings(const ExposureTerms &exposure) {
+RolloutSettings quickRolloutSettings(const ExposureLimit &exposure) {
   RolloutSettings out;
   out.Exposure = exposure;
   // Servers differ in speed, but the mean over those of a version differs less;
@@ -67,8 +67,8 @@
                            });
   };
   NewCalls = std::max(NewCalls, sum(view.NewCounts));
-  Budget.note(now, sum(view.OldCounts) + NewCalls, NewCalls,
-              static_cast<double>(view.ShareBasisPoints) / FullShare);
+  Budget.update(now, sum(view.OldCounts) + NewCalls, NewCalls,
+                static_cast<double>(view.ShareBasisPoints) / FullShare);
 }
 
 bool RolloutDriver::mayComplete(TimePoint now, const RolloutView &view) const {
@@ -85,7 +85,7 @@
   }
   const auto deadline = view.OrderedAt + view.TimeAllowed;
   const auto part =
-      Budget.partUntil(deadline - Settings.TopFrom, deadline, now);
+      Budget.fractionUntil(deadline - Settings.TopFrom, deadline, now);
   return std::clamp(static_cast<std::uint32_t>(part * FullShare),
                     Settings.MinTestShare, Settings.MaxTestShare);
 }
@@ -97,7 +97,8 @@
     return {};
   }
   if (now >= deadline - Settings.TopFrom) {
-    return NewCalls >= Settings.MinTestCalls && Budget.coversAll(deadline, now)
+    return NewCalls >= Settings.MinTestCalls &&
+                   Budget.coversFullTraffic(deadline, now)
                ? RolloutDecision{RolloutAction::SetShare, Settings.TopShare,
                                  evidence}
                : RolloutDecision{};
