--- a/include/chivefold/mesh/exposure_budget.h
+++ b/include/chivefold/mesh/exposure_budget.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * How many requests a version that is not yet trusted may get.
+ * Limits the requests that an unverified version receives during a rollout.
  */
 #ifndef CHIVEFOLD_MESH_EXPOSURE_BUDGET_H
 #define CHIVEFOLD_MESH_EXPOSURE_BUDGET_H
@@ -9,64 +9,77 @@
 
 namespace chivefold {
 
-/** Bound of the requests that a bad version may get: a share of those that
- * reach its service between the order and its deadline, and some more. */
+/** Limit on the requests that a bad version may receive: a share of all
+ * requests to its service between the rollout order and its deadline, plus a
+ * constant number. */
 struct ExposureLimit {
+  /** Fraction of all requests to the service. */
   double Share = 0.1;
+  /** Requests allowed in addition to the share. */
   double Slack = 50;
 };
 
 /**
- * Spends the bound of one rollout so that a version cannot exceed it, whenever
- * it turns bad: what the full share needs up to the deadline is set aside, and
- * the rest is spread over the time before. Not thread-safe.
+ * Allocates the exposure limit of one rollout over time, so that the new
+ * version stays within the limit at whatever time it turns bad. The requests
+ * needed to send it full traffic up to the deadline are reserved; the remaining
+ * ones are spread evenly over the time before. Not thread-safe.
  */
 class ExposureBudget {
 public:
-  /** Part of the bound that is spent; the rest is for requests under way and
-   * for a rate that falls. */
+  /** Fractions of the limit's share and slack that are allocated. The rest
+   * covers requests in flight and a falling request rate. */
   static constexpr double UsableShareFraction = 0.97;
   static constexpr double UsableSlackFraction = 0.9;
-  /** What is set aside for the time at the top, in parts of the rate: requests
-   * that full servers had refused come beside those that were answered, and the
-   * test must not use up what that time needs. */
+  /** Factor on the request rate for which the full-traffic period is reserved.
+   * Requests that overloaded servers had refused arrive in that period as well,
+   * and the test must not consume what the period needs. */
   static constexpr double BacklogFactor = 1.25;
-  /** Time constant of the rate of requests. */
+  /** Time constant of the exponential moving average of the request rate. */
   static constexpr Duration RateTimeConstant = std::chrono::milliseconds(1500);
 
   explicit ExposureBudget(const ExposureLimit &limit);
 
-  /** Notes how many calls all versions and the new one have answered, and the
-   * part of the requests that the new one gets from now on. All calls of the
-   * new one count, so that a driver that takes over goes on with what was
-   * spent.
-   * @param now not before that of the last call. */
+  /** Updates the counts of answered calls.
+   * @param now must not be before that of the previous update.
+   * @param allCalls calls answered by all versions.
+   * @param newCalls calls answered by the new version, including those before
+   * this object was created, so that a driver that takes over a rollout counts
+   * the exposure under its predecessor.
+   * @param fraction fraction of the requests that the new version receives from
+   * now on. */
   void update(TimePoint now, double allCalls, double newCalls, double fraction);
 
-  /** @return part of the requests that the new version may get until
-   * @p fullTrafficFrom, if it gets all of them from then to @p deadline. */
+  /** @return the fraction of the requests that the new version may receive
+   * until
+   * @p fullTrafficFrom, if it receives all requests from then to @p deadline.
+   */
   double fractionUntil(TimePoint fullTrafficFrom, TimePoint deadline,
                        TimePoint now) const;
 
-  /** @return whether it may get all requests from now to @p deadline. */
+  /** @return whether the new version may receive all requests from now to
+   * @p deadline. */
   bool coversFullTraffic(TimePoint deadline, TimePoint now) const;
 
-  /** @return requests to the service a second; 0 until it is known. */
+  /** @return requests to the service per second; 0 until measured. */
   double rate() const { return Rate; }
 
 private:
+  /** @return requests that the new version may still receive, given the
+   * expected number of requests up to @p deadline. */
   double remaining(TimePoint deadline, TimePoint now) const;
 
   ExposureLimit Limit;
   TimePoint UpdatedAt{};
-  /** When the calls were first counted, and how many there were. */
+  /** Time and call count of the first update. */
   TimePoint FirstUpdateAt{};
   double InitialCalls = 0;
   double AllCalls = 0;
   double NewCalls = 0;
   double Rate = 0;
   double Fraction = 0;
-  /** Requests that the part has let through at the rate of the time. */
+  /** Requests that the new version should have received by the fractions in
+   * force and the measured rate; runs ahead of the counts of answered calls. */
   double ModelledNewCalls = 0;
 };
 
--- a/src/mesh/exposure_budget.cpp
+++ b/src/mesh/exposure_budget.cpp
@@ -23,7 +23,8 @@
   } else if (now > UpdatedAt) {
     const double elapsed = seconds(now - UpdatedAt);
     const double currentRate = std::max(0.0, allCalls - AllCalls) / elapsed;
-    // The plain mean at first, so that one short interval does not count much.
+    // Starts as an arithmetic mean, which limits the weight of a short first
+    // interval.
     const double measured = seconds(now - FirstUpdateAt);
     const double weight =
         std::max(1 - std::exp(-elapsed / seconds(RateTimeConstant)),
@@ -37,7 +38,6 @@
   Fraction = fraction;
 }
 
-// Requests that the new version may still get.
 double ExposureBudget::remaining(TimePoint deadline, TimePoint now) const {
   const double timeLeft = std::max(0.0, seconds(deadline - now));
   const double all = AllCalls - InitialCalls + Rate * timeLeft;
@@ -50,7 +50,7 @@
                                      TimePoint deadline, TimePoint now) const {
   const double reserved =
       BacklogFactor * Rate * std::max(0.0, seconds(deadline - fullTrafficFrom));
-  // A moment at least, so that the part stays finite as that time comes.
+  // The lower bound keeps the fraction finite as the full-traffic period nears.
   const double timeLeft =
       std::max(MinSpreadSeconds, seconds(fullTrafficFrom - now));
   return std::clamp((remaining(deadline, now) - reserved) /
