--- a/include/chivefold/mesh/fleet_table.h
+++ b/include/chivefold/mesh/fleet_table.h
@@ -51,24 +51,24 @@
 struct HostEntry {
   HostState State;
   /** False until the daemon itself was heard: only its address is known. */
-  bool Heard = false;
+  bool StateKnown = false;
   /** When an attempt to reach it last succeeded or failed; zero for never. */
-  TimePoint HeardAt{};
-  TimePoint FailedAt{};
+  TimePoint LastSeenAt{};
+  TimePoint LastFailureAt{};
   std::uint32_t Failures = 0;
   TimePoint AddedAt{};
 
-  bool reachable() const { return Heard && Failures == 0; }
+  bool reachable() const { return StateKnown && Failures == 0; }
 };
 
 /** What a state that another host passed on is worth. */
-enum class Hearsay : std::uint8_t {
+enum class RelayedUpdateResult : std::uint8_t {
   /** Newer than what was known, and taken. */
-  News,
-  Old,
+  Applied,
+  Stale,
   /** Of another start of the daemon: only that daemon can tell which is the
    * later one. */
-  Unsure
+  OtherBoot
 };
 
 /**
@@ -83,7 +83,7 @@
   static constexpr std::size_t MaxHosts = 8192;
   /** An unreachable host is forgotten after this time; its daemon would
    * announce itself on return. */
-  static constexpr Duration ForgetAfter = std::chrono::minutes(2);
+  static constexpr Duration ExpireAfter = std::chrono::minutes(2);
 
   explicit FleetTable(std::uint64_t seed);
 
@@ -96,12 +96,12 @@
 
   /** Takes what another host passed on. A state that is not newer says nothing
    * of whether the host can be reached. */
-  Hearsay updateFromOther(const HostState &state, TimePoint now);
+  RelayedUpdateResult updateFromRelay(const HostState &state, TimePoint now);
 
   /** An attempt to reach the host failed. */
-  void failed(const Address &peer, TimePoint now);
+  void recordFailure(const Address &peer, TimePoint now);
   /** The host answered. */
-  void heard(const Address &peer, TimePoint now);
+  void recordContact(const Address &peer, TimePoint now);
 
   void remove(const Address &peer);
 
@@ -118,14 +118,14 @@
    * pace that slows with each failure, and one other that was not heard for
    * longest.
    */
-  std::vector<Address> toProbe(TimePoint now);
+  std::vector<Address> selectProbeTargets(TimePoint now);
 
   /** Drops hosts that have been unreachable for ForgetAfter. @return them. */
-  std::vector<Address> forget(TimePoint now);
+  std::vector<Address> removeExpired(TimePoint now);
 
 private:
   HostEntry *add(const Address &peer, TimePoint now);
-  bool dueAgain(const HostEntry &entry, TimePoint now) const;
+  bool isContactDue(const HostEntry &entry, TimePoint now) const;
 
   std::mt19937_64 Random;
   std::unordered_map<Address, HostEntry> Hosts;
--- a/src/mesh/fleet_table.cpp
+++ b/src/mesh/fleet_table.cpp
@@ -11,11 +11,11 @@
                                                      "draining"};
 /** Pause before a host that failed is contacted again; doubles up to the
  * maximum, which bounds the time in which a restarted host stays unknown. */
-constexpr Duration MinPause = std::chrono::milliseconds(250);
-constexpr Duration MaxPause = std::chrono::seconds(2);
+constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(2);
 constexpr std::uint32_t MaxDoublings = 3;
 /** A reachable host is contacted if it was silent for this time. */
-constexpr Duration ProbeAfter = std::chrono::seconds(2);
+constexpr Duration IdleBeforeProbe = std::chrono::seconds(2);
 
 std::uint64_t digestOf(const Address &peer) { return hash64(toString(peer)); }
 
@@ -42,7 +42,7 @@
     for (auto host = Hosts.begin(); host != Hosts.end(); ++host) {
       if (!host->second.reachable() &&
           (oldest == Hosts.end() ||
-           host->second.HeardAt < oldest->second.HeardAt)) {
+           host->second.LastSeenAt < oldest->second.LastSeenAt)) {
         oldest = host;
       }
     }
@@ -71,7 +71,7 @@
     return false;
   }
   auto &known = entry->State;
-  if (entry->Heard && known.BootId == state.BootId &&
+  if (entry->StateKnown && known.BootId == state.BootId &&
       state.Sequence < known.Sequence) {
     return false;
   }
@@ -80,38 +80,39 @@
                        known.DataCentre != state.DataCentre ||
                        !sameServer(known.Server, state.Server);
   known = state;
-  entry->Heard = true;
-  entry->HeardAt = now;
+  entry->StateKnown = true;
+  entry->LastSeenAt = now;
   entry->Failures = 0;
   return changed;
 }
 
-Hearsay FleetTable::updateFromOther(const HostState &state, TimePoint now) {
+RelayedUpdateResult FleetTable::updateFromRelay(const HostState &state,
+                                                TimePoint now) {
   const auto *known = find(state.Peer);
-  if (known != nullptr && known->Heard) {
+  if (known != nullptr && known->StateKnown) {
     if (known->State.BootId != state.BootId) {
-      return Hearsay::Unsure;
+      return RelayedUpdateResult::OtherBoot;
     }
     if (state.Sequence <= known->State.Sequence) {
-      return Hearsay::Old;
+      return RelayedUpdateResult::Stale;
     }
   }
   update(state, now);
-  return Hearsay::News;
+  return RelayedUpdateResult::Applied;
 }
 
-void FleetTable::failed(const Address &peer, TimePoint now) {
+void FleetTable::recordFailure(const Address &peer, TimePoint now) {
   const auto it = Hosts.find(peer);
   if (it != Hosts.end()) {
-    it->second.FailedAt = now;
+    it->second.LastFailureAt = now;
     ++it->second.Failures;
   }
 }
 
-void FleetTable::heard(const Address &peer, TimePoint now) {
+void FleetTable::recordContact(const Address &peer, TimePoint now) {
   const auto it = Hosts.find(peer);
   if (it != Hosts.end()) {
-    it->second.HeardAt = now;
+    it->second.LastSeenAt = now;
     it->second.Failures = 0;
   }
 }
@@ -136,38 +137,40 @@
   return out;
 }
 
-bool FleetTable::dueAgain(const HostEntry &entry, TimePoint now) const {
+bool FleetTable::isContactDue(const HostEntry &entry, TimePoint now) const {
   if (entry.Failures == 0) {
-    return !entry.Heard;
+    return !entry.StateKnown;
   }
   const auto doublings = std::min(entry.Failures - 1, MaxDoublings);
-  const auto pause = std::min(MinPause * (1 << doublings), MaxPause);
-  return now >= entry.FailedAt + pause;
+  const auto delay = std::min(MinRetryDelay * (1 << doublings), MaxRetryDelay);
+  return now >= entry.LastFailureAt + delay;
 }
 
-std::vector<Address> FleetTable::toProbe(TimePoint now) {
+std::vector<Address> FleetTable::selectProbeTargets(TimePoint now) {
   std::vector<Address> out;
-  const HostEntry *silent = nullptr;
+  const HostEntry *leastRecent = nullptr;
   for (const auto &it : Hosts) {
-    if (dueAgain(it.second, now)) {
+    if (isContactDue(it.second, now)) {
       out.push_back(it.first);
     } else if (it.second.reachable() &&
-               (silent == nullptr || it.second.HeardAt < silent->HeardAt)) {
-      silent = &it.second;
+               (leastRecent == nullptr ||
+                it.second.LastSeenAt < leastRecent->LastSeenAt)) {
+      leastRecent = &it.second;
     }
   }
-  if (silent != nullptr && silent->HeardAt + ProbeAfter <= now) {
-    out.push_back(silent->State.Peer);
+  if (leastRecent != nullptr &&
+      leastRecent->LastSeenAt + IdleBeforeProbe <= now) {
+    out.push_back(leastRecent->State.Peer);
   }
   std::shuffle(out.begin(), out.end(), Random);
   return out;
 }
 
-std::vector<Address> FleetTable::forget(TimePoint now) {
+std::vector<Address> FleetTable::removeExpired(TimePoint now) {
   std::vector<Address> out;
   for (const auto &it : Hosts) {
-    const auto since = std::max(it.second.HeardAt, it.second.AddedAt);
-    if (!it.second.reachable() && since + ForgetAfter <= now) {
+    const auto since = std::max(it.second.LastSeenAt, it.second.AddedAt);
+    if (!it.second.reachable() && since + ExpireAfter <= now) {
       out.push_back(it.first);
     }
   }
--- a/src/mesh/placement.cpp
+++ b/src/mesh/placement.cpp
@@ -50,7 +50,7 @@
   ByService.clear();
   for (const auto &it : Fleet.hosts()) {
     const auto &server = it.second.State.Server;
-    if (!it.second.Heard || server.Service.empty()) {
+    if (!it.second.StateKnown || server.Service.empty()) {
       continue;
     }
     ByService[server.Service].push_back(it.first);
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -118,13 +118,13 @@
 void FleetService::probe() {
   Loop.schedule(Loop.now() + ProbeInterval, [this] { probe(); });
   const auto now = Loop.now();
-  Table.heard(Own, now);
-  auto due = Table.toProbe(now);
+  Table.recordContact(Own, now);
+  auto due = Table.selectProbeTargets(now);
   due.resize(std::min(due.size(), MaxProbes));
   for (const auto &it : due) {
     greet(it);
   }
-  const auto gone = Table.forget(now);
+  const auto gone = Table.removeExpired(now);
   for (const auto &it : gone) {
     Lines.info("forgot a host that stayed unreachable",
                {{"host", toString(it)}});
@@ -183,7 +183,7 @@
         }
         const auto *known = Table.find(peer);
         const bool lost = known != nullptr && known->reachable();
-        Table.failed(peer, Loop.now());
+        Table.recordFailure(peer, Loop.now());
         if (lost) {
           Lines.warn("lost a host", {{"host", toString(peer)},
                                      {"reason", outcome.Failure.Message}});
@@ -284,7 +284,7 @@
 // by it.
 void FleetService::relay(const HostState &state, const wire::HelloT &hello) {
   const auto *known = Table.find(state.Peer);
-  const bool isNews = known == nullptr || !known->Heard ||
+  const bool isNews = known == nullptr || !known->StateKnown ||
                       known->State.BootId != state.BootId ||
                       known->State.Sequence < state.Sequence;
   if (!isNews) {
@@ -298,12 +298,12 @@
 void FleetService::takeRelayed(const HostState &state) {
   const auto *known = Table.find(state.Peer);
   const bool isNew = known == nullptr || !known->reachable();
-  switch (Table.updateFromOther(state, Loop.now())) {
-  case Hearsay::News:
+  switch (Table.updateFromRelay(state, Loop.now())) {
+  case RelayedUpdateResult::Applied:
     return noteNews(state, isNew);
-  case Hearsay::Unsure:
+  case RelayedUpdateResult::OtherBoot:
     return greet(state.Peer);
-  case Hearsay::Old:
+  case RelayedUpdateResult::Stale:
     return;
   }
 }
--- a/tests/unit/announce_plan_test.cpp
+++ b/tests/unit/announce_plan_test.cpp
@@ -61,7 +61,7 @@
       for (const auto &next : Plans[to]->relayTargets(state.Peer)) {
         ++Messages;
         CHECK(Index.at(next) % DataCentres == to % DataCentres);
-        Tables[Index.at(next)]->updateFromOther(state, Start + seconds(1));
+        Tables[Index.at(next)]->updateFromRelay(state, Start + seconds(1));
       }
     }
   }
@@ -125,16 +125,21 @@
 TEST_CASE("a state that was passed on is taken only if it is newer",
           "[announce]") {
   FleetTable table(1);
-  CHECK(table.updateFromOther(stateOf(3, 4), Start) == Hearsay::News);
+  CHECK(table.updateFromRelay(stateOf(3, 4), Start) ==
+        RelayedUpdateResult::Applied);
   CHECK(table.find(hostAt(3))->reachable());
-  CHECK(table.updateFromOther(stateOf(3, 4), Start) == Hearsay::Old);
-  CHECK(table.updateFromOther(stateOf(3, 2), Start) == Hearsay::Old);
+  CHECK(table.updateFromRelay(stateOf(3, 4), Start) ==
+        RelayedUpdateResult::Stale);
+  CHECK(table.updateFromRelay(stateOf(3, 2), Start) ==
+        RelayedUpdateResult::Stale);
   auto earlierStart = stateOf(3, 9);
   earlierStart.BootId = 77;
-  CHECK(table.updateFromOther(earlierStart, Start) == Hearsay::Unsure);
+  CHECK(table.updateFromRelay(earlierStart, Start) ==
+        RelayedUpdateResult::OtherBoot);
   CHECK(table.find(hostAt(3))->State.Sequence == 4);
   // A stale copy is no evidence that this daemon can reach the host.
-  table.failed(hostAt(3), Start + seconds(1));
-  CHECK(table.updateFromOther(stateOf(3, 4), Start) == Hearsay::Old);
+  table.recordFailure(hostAt(3), Start + seconds(1));
+  CHECK(table.updateFromRelay(stateOf(3, 4), Start) ==
+        RelayedUpdateResult::Stale);
   CHECK_FALSE(table.find(hostAt(3))->reachable());
 }
--- a/tests/unit/mesh_state_test.cpp
+++ b/tests/unit/mesh_state_test.cpp
@@ -156,8 +156,8 @@
   REQUIRE(fleet.addAddress(peer, at(0)));
   TimePoint last = at(0);
   for (std::int64_t ms = 0; ms < 20'000; ms += 100) {
-    if (!fleet.toProbe(at(ms)).empty()) {
-      fleet.failed(peer, at(ms));
+    if (!fleet.selectProbeTargets(at(ms)).empty()) {
+      fleet.recordFailure(peer, at(ms));
       CHECK(at(ms) - last <= milliseconds(2100));
       last = at(ms);
     }
