--- a/include/chivefold/mesh/fleet_table.h
+++ b/include/chivefold/mesh/fleet_table.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The hosts of the fleet and the backend servers beside their daemons.
+ * Hosts of the fleet and the backend server that runs beside each daemon.
  */
 #ifndef CHIVEFOLD_MESH_FLEET_TABLE_H
 #define CHIVEFOLD_MESH_FLEET_TABLE_H
@@ -17,15 +17,15 @@
 
 namespace chivefold {
 
-/** Whether a backend server takes new work. */
+/** Whether a backend server accepts new requests. */
 enum class ServerPhase : std::uint8_t { Absent, Ready, Draining };
 
 /** @return "absent", "ready" or "draining". Thread-safe. */
 std::string_view serverPhaseName(ServerPhase phase);
 
-/** A backend server as the daemon beside it knows it. */
+/** State of a backend server as reported by the daemon beside it. */
 struct BackendServerState {
-  /** Identity of this start of the server; "" if none is known. */
+  /** Identifier of the server process, new on each start; "" if unknown. */
   std::string Instance;
   std::string Service;
   std::string Version;
@@ -33,74 +33,82 @@
   ServerPhase Phase = ServerPhase::Absent;
 };
 
-/** What a daemon says of itself. */
+/** State that a daemon publishes about its host. */
 struct HostState {
   Address Peer;
   std::string DataCentre;
-  /** Random for each start of the daemon. */
+  /** Random number chosen at each start of the daemon. */
   std::uint64_t BootId = 0;
-  /** Rises with each change within one start. */
+  /** Incremented with each change of the state; comparable only between states
+   * with the same BootId. */
   std::uint64_t Sequence = 0;
-  /** The daemon stops; it takes no new work. */
+  /** The daemon is shutting down and accepts no new requests. */
   bool Leaving = false;
   BackendServerState Server;
   GateState Gate;
 };
 
-/** A host in the table. */
+/** Entry of the fleet table. */
 struct HostEntry {
   HostState State;
-  /** False until the daemon itself was heard: only its address is known. */
+  /** False while only the address of the host is known. */
   bool StateKnown = false;
-  /** When an attempt to reach it last succeeded or failed; zero for never. */
+  /** Last contact or update; zero if there was none. */
   TimePoint LastSeenAt{};
+  /** Last failed attempt to contact the host; zero if there was none. */
   TimePoint LastFailureAt{};
+  /** Failed attempts since the last contact or update. */
   std::uint32_t Failures = 0;
   TimePoint AddedAt{};
 
   bool reachable() const { return StateKnown && Failures == 0; }
 };
 
-/** What a state that another host passed on is worth. */
+/** Result of an update with a state that another host forwarded. */
 enum class RelayedUpdateResult : std::uint8_t {
-  /** Newer than what was known, and taken. */
+  /** The state was newer and was stored. */
   Applied,
+  /** The state was not newer and was ignored. */
   Stale,
-  /** Of another start of the daemon: only that daemon can tell which is the
-   * later one. */
+  /** The state belongs to another start of the daemon and was ignored: boot
+   * identifiers have no order, so only the daemon itself can tell which start
+   * is current. */
   OtherBoot
 };
 
 /**
- * Hosts by the address of their daemon. The state of a host is numbered by that
- * host, so that a copy passed on by another is never taken for newer than it
- * is. At most MaxHosts are kept; on overflow
- * the host that has been unreachable for longest is dropped, and if all are
- * reachable the new one is ignored. Not thread-safe.
+ * Known hosts by the address of their daemon. Each host numbers its own states,
+ * so that a copy forwarded by another host cannot replace a newer state. The
+ * table holds at most MaxHosts. When it is full, a new host replaces the
+ * unreachable host that was last seen longest ago; if all hosts are reachable,
+ * the new host is ignored. Not thread-safe.
  */
 class FleetTable {
 public:
   static constexpr std::size_t MaxHosts = 8192;
-  /** An unreachable host is forgotten after this time; its daemon would
-   * announce itself on return. */
+  /** Time after which an unreachable host is removed. Its daemon announces
+   * itself when it returns. */
   static constexpr Duration ExpireAfter = std::chrono::minutes(2);
 
   explicit FleetTable(std::uint64_t seed);
 
-  /** Adds an address to contact. @return whether it was new. */
+  /** Adds a host of which only the address is known.
+   * @return whether the host was added. */
   bool addAddress(const Address &peer, TimePoint now);
 
-  /** Takes what a host said of itself. @return whether anything but its gate
-   * changed. */
+  /** Stores a state received from the host itself.
+   * @return whether anything other than the gate state changed, or the host was
+   * not reachable before. */
   bool update(const HostState &state, TimePoint now);
 
-  /** Takes what another host passed on. A state that is not newer says nothing
-   * of whether the host can be reached. */
+  /** Stores a state that another host forwarded, if it is newer. A state that
+   * is not newer leaves the reachability of the host unchanged. */
   RelayedUpdateResult updateFromRelay(const HostState &state, TimePoint now);
 
-  /** An attempt to reach the host failed. */
+  /** Records a failed attempt to contact the host, which becomes unreachable.
+   */
   void recordFailure(const Address &peer, TimePoint now);
-  /** The host answered. */
+  /** Records that the host answered. */
   void recordContact(const Address &peer, TimePoint now);
 
   void remove(const Address &peer);
@@ -108,15 +116,15 @@
   const HostEntry *find(const Address &peer) const;
   const std::unordered_map<Address, HostEntry> &hosts() const { return Hosts; }
 
-  /** @return a hash of all addresses, equal on daemons that know the same
-   * hosts. */
+  /** @return an order-independent hash of all addresses, equal on daemons that
+   * know the same hosts. */
   std::uint64_t addressDigest() const { return Digest; }
   std::vector<Address> addresses() const;
 
   /**
-   * Chooses hosts to contact now: all that were never heard or failed, at a
-   * pace that slows with each failure, and one other that was not heard for
-   * longest.
+   * Selects the hosts to contact now: hosts whose state is unknown, hosts whose
+   * last contact failed, with an exponential backoff, and the reachable host
+   * that was last seen longest ago, if that time is long enough.
    */
   std::vector<Address> selectProbeTargets(TimePoint now);
 
@@ -124,6 +132,8 @@
   std::vector<Address> removeExpired(TimePoint now);
 
 private:
+  /** @return the existing or new entry, or null if the table is full of
+   * reachable hosts. */
   HostEntry *add(const Address &peer, TimePoint now);
   bool isContactDue(const HostEntry &entry, TimePoint now) const;
 
--- a/src/mesh/fleet_table.cpp
+++ b/src/mesh/fleet_table.cpp
@@ -9,12 +9,13 @@
 
 constexpr std::array<std::string_view, 3> PhaseNames{"absent", "ready",
                                                      "draining"};
-/** Pause before a host that failed is contacted again; doubles up to the
- * maximum, which bounds the time in which a restarted host stays unknown. */
+/** Delay before a failed host is contacted again. It doubles with each failure
+ * up to the maximum, which bounds the time until a restarted host is noticed.
+ */
 constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
 constexpr Duration MaxRetryDelay = std::chrono::seconds(2);
 constexpr std::uint32_t MaxDoublings = 3;
-/** A reachable host is contacted if it was silent for this time. */
+/** Time since a reachable host was last seen after which it is probed. */
 constexpr Duration IdleBeforeProbe = std::chrono::seconds(2);
 
 std::uint64_t digestOf(const Address &peer) { return hash64(toString(peer)); }
