--- a/include/chivefold/mesh/mesh_configuration.h
+++ b/include/chivefold/mesh/mesh_configuration.h
@@ -85,13 +85,13 @@
   /** @return the service, or null. */
   const MeshService *service(std::string_view name) const;
 
-  const MeshConfiguration &configuration() const { return Content; }
+  const MeshConfiguration &configuration() const { return Configuration; }
 
 private:
-  using Prefixes = std::unordered_map<std::string, std::size_t>;
+  using RoutesByPrefix = std::unordered_map<std::string, std::size_t>;
 
-  MeshConfiguration Content;
-  std::unordered_map<std::string, Prefixes> Hosts;
+  MeshConfiguration Configuration;
+  std::unordered_map<std::string, RoutesByPrefix> RoutesByHostname;
 };
 
 } // namespace chivefold
--- a/src/mesh/mesh_configuration.cpp
+++ b/src/mesh/mesh_configuration.cpp
@@ -12,7 +12,7 @@
                                                     "at-most-once"};
 
 // Host names are compared without case and without a port.
-std::string canonical(std::string_view hostname) {
+std::string canonicalHostname(std::string_view hostname) {
   std::string out(hostname.substr(0, hostname.find(':')));
   std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) {
     return static_cast<char>(std::tolower(c));
@@ -27,17 +27,18 @@
 }
 
 RouteTable::RouteTable(MeshConfiguration configuration)
-    : Content(std::move(configuration)) {
-  for (std::size_t i = 0; i < Content.Routes.size(); ++i) {
-    const auto &route = Content.Routes[i];
-    Hosts[canonical(route.Hostname)].emplace(route.PathPrefix, i);
+    : Configuration(std::move(configuration)) {
+  for (std::size_t i = 0; i < Configuration.Routes.size(); ++i) {
+    const auto &route = Configuration.Routes[i];
+    RoutesByHostname[canonicalHostname(route.Hostname)].emplace(
+        route.PathPrefix, i);
   }
 }
 
 const MeshRoute *RouteTable::find(std::string_view hostname,
                                   std::string_view path) const {
-  const auto host = Hosts.find(canonical(hostname));
-  if (host == Hosts.end()) {
+  const auto host = RoutesByHostname.find(canonicalHostname(hostname));
+  if (host == RoutesByHostname.end()) {
     return nullptr;
   }
   // Prefixes end with a slash, so each slash of the path ends a candidate.
@@ -45,15 +46,15 @@
        n = n == 0 ? std::string_view::npos : path.rfind('/', n - 1)) {
     const auto it = host->second.find(std::string(path.substr(0, n + 1)));
     if (it != host->second.end()) {
-      return &Content.Routes[it->second];
+      return &Configuration.Routes[it->second];
     }
   }
   return nullptr;
 }
 
 const MeshService *RouteTable::service(std::string_view name) const {
-  const auto it = Content.Services.find(name);
-  return it == Content.Services.end() ? nullptr : &it->second;
+  const auto it = Configuration.Services.find(name);
+  return it == Configuration.Services.end() ? nullptr : &it->second;
 }
 
 } // namespace chivefold
