--- a/include/chivefold/mesh/operator_state.h
+++ b/include/chivefold/mesh/operator_state.h
@@ -108,8 +108,8 @@
   std::vector<KeyedRecord> records() const;
 
 private:
-  OperatorChange take(const KeyedRecord &record);
-  OperatorChange drop(const KeyedRecord &record);
+  OperatorChange applyValue(const KeyedRecord &record);
+  OperatorChange applyDeletion(const KeyedRecord &record);
 
   const OperatorCodec &Codec;
   std::map<std::string, KeyedRecord, std::less<>> Records;
--- a/src/mesh/operator_state.cpp
+++ b/src/mesh/operator_state.cpp
@@ -34,10 +34,10 @@
     return ignored(ErrorCode::TooLarge, "too many keys");
   }
   Records[record.Key] = record;
-  return record.Value ? take(record) : drop(record);
+  return record.Value ? applyValue(record) : applyDeletion(record);
 }
 
-OperatorChange OperatorState::take(const KeyedRecord &record) {
+OperatorChange OperatorState::applyValue(const KeyedRecord &record) {
   auto order = Codec.decode(record.Key, *record.Value);
   if (!order) {
     return ignored(order.reason().Code,
@@ -61,7 +61,7 @@
   return change;
 }
 
-OperatorChange OperatorState::drop(const KeyedRecord &record) {
+OperatorChange OperatorState::applyDeletion(const KeyedRecord &record) {
   OperatorChange change;
   const auto order = Codec.decodeKey(record.Key);
   if (const auto *rollout = std::get_if<RolloutOrder>(&order)) {
@@ -89,7 +89,7 @@
       // It was dropped somewhere before the end; peers that know less ask for
       // what lies behind their place.
       known.Offset = end - 1;
-      merge(change, drop(known));
+      merge(change, applyDeletion(known));
     }
   }
   advance(end);
