--- a/include/chivefold/mesh/order_readers.h
+++ b/include/chivefold/mesh/order_readers.h
@@ -19,13 +19,13 @@
  */
 class OrderReaders {
 public:
-  static constexpr std::size_t PerDataCentre = 2;
+  static constexpr std::size_t ReadersPerDataCentre = 2;
 
   /** @param own address and @param dataCentre of this host. */
   OrderReaders(const FleetTable &fleet, Address own, std::string dataCentre);
 
   /** @return whether this host is one of the readers. */
-  bool includesOwn() const;
+  bool includesSelf() const;
 
 private:
   const FleetTable &Fleet;
--- a/src/mesh/order_readers.cpp
+++ b/src/mesh/order_readers.cpp
@@ -8,18 +8,18 @@
                            std::string dataCentre)
     : Fleet(fleet), Own(std::move(own)), DataCentre(std::move(dataCentre)) {}
 
-bool OrderReaders::includesOwn() const {
+bool OrderReaders::includesSelf() const {
   const auto rank = [](const Address &peer) {
     return hash64("orders/" + toString(peer));
   };
   const auto own = rank(Own);
-  const auto before = std::count_if(
+  const auto rankedBefore = std::count_if(
       Fleet.hosts().begin(), Fleet.hosts().end(), [&](const auto &it) {
         return it.first != Own && it.second.reachable() &&
                !it.second.State.Leaving &&
                it.second.State.DataCentre == DataCentre && rank(it.first) < own;
       });
-  return static_cast<std::size_t>(before) < PerDataCentre;
+  return static_cast<std::size_t>(rankedBefore) < ReadersPerDataCentre;
 }
 
 } // namespace chivefold
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -27,7 +27,7 @@
 
 void OrderFeed::checkDuty() {
   Loop.schedule(Loop.now() + DutyInterval, [this] { checkDuty(); });
-  if (!Reading && (Parts.Readers.includesOwn() || mayBeBehind())) {
+  if (!Reading && (Parts.Readers.includesSelf() || mayBeBehind())) {
     poll();
   }
 }
@@ -82,7 +82,7 @@
     tellOthers(1);
   }
   Reading = false;
-  if (Parts.Readers.includesOwn()) {
+  if (Parts.Readers.includesSelf()) {
     poll();
   }
 }
--- a/tests/unit/order_feed_test.cpp
+++ b/tests/unit/order_feed_test.cpp
@@ -175,7 +175,7 @@
   std::size_t readers() const {
     return static_cast<std::size_t>(
         std::count_if(All.begin(), All.end(), [](const auto &it) {
-          return it->Readers->includesOwn();
+          return it->Readers->includesSelf();
         }));
   }
 
@@ -214,11 +214,11 @@
 TEST_CASE("a few hosts read the orders for all", "[orders]") {
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
-  CHECK(feeds.readers() == DataCentres * OrderReaders::PerDataCentre);
+  CHECK(feeds.readers() == DataCentres * OrderReaders::ReadersPerDataCentre);
   feeds.write(2);
   CHECK(feeds.runUntil([&] { return feeds.knowing(2) == feeds.All.size(); }));
   for (std::size_t i = 0; i < feeds.All.size(); ++i) {
-    const bool reads = feeds.All[i]->Readers->includesOwn();
+    const bool reads = feeds.All[i]->Readers->includesSelf();
     CHECK((feeds.Stores[i]->Reads > 0) == reads);
   }
 }
@@ -239,7 +239,8 @@
     served[it->DataCentre] += it->Fetches;
   }
   for (const auto &it : served) {
-    CHECK((!inTime || it.second == HostsEach - OrderReaders::PerDataCentre));
+    CHECK((!inTime ||
+           it.second == HostsEach - OrderReaders::ReadersPerDataCentre));
   }
 }
 
@@ -263,7 +264,7 @@
   Feeds feeds;
   feeds.run(OrderFeed::DutyInterval * 2);
   for (std::size_t i = 0; i < feeds.All.size(); ++i) {
-    feeds.Stores[i]->Down = feeds.All[i]->Readers->includesOwn();
+    feeds.Stores[i]->Down = feeds.All[i]->Readers->includesSelf();
   }
   feeds.run(OrderFeed::PollTime);
   feeds.write(4);
