--- a/include/chivefold/mesh/version_policy.h
+++ b/include/chivefold/mesh/version_policy.h
@@ -61,9 +61,10 @@
   bool apply(const RolloutProgress &progress);
 
   /** Notes a version that has a ready server; the first one is remembered. */
-  void saw(const std::string &service, const std::string &version);
+  void addReadyVersion(const std::string &service, const std::string &version);
   /** The version has no ready server any more. */
-  void vanished(const std::string &service, const std::string &version);
+  void removeReadyVersion(const std::string &service,
+                          const std::string &version);
 
   /** @return share of @p version in 1/10,000; FullShare for a version that
    * takes what the target leaves. */
@@ -78,7 +79,7 @@
   std::optional<Split> split(std::string_view service) const;
 
   const RolloutProgress *progress(std::string_view service) const;
-  std::vector<RolloutProgress> all() const;
+  std::vector<RolloutProgress> allProgress() const;
 
 private:
   const RolloutOrder *order(std::string_view service) const;
--- a/src/mesh/placement.cpp
+++ b/src/mesh/placement.cpp
@@ -55,7 +55,7 @@
     }
     ByService[server.Service].push_back(it.first);
     if (server.Phase == ServerPhase::Ready) {
-      Versions.saw(server.Service, server.Version);
+      Versions.addReadyVersion(server.Service, server.Version);
     }
   }
   for (auto it = Loads.begin(); it != Loads.end();) {
--- a/src/mesh/version_policy.cpp
+++ b/src/mesh/version_policy.cpp
@@ -33,15 +33,15 @@
   return true;
 }
 
-void VersionPolicy::saw(const std::string &service,
-                        const std::string &version) {
+void VersionPolicy::addReadyVersion(const std::string &service,
+                                    const std::string &version) {
   if (FirstVersions.size() < MaxServices) {
     FirstVersions.emplace(service, version);
   }
 }
 
-void VersionPolicy::vanished(const std::string &service,
-                             const std::string &version) {
+void VersionPolicy::removeReadyVersion(const std::string &service,
+                                       const std::string &version) {
   const auto it = FirstVersions.find(service);
   if (it != FirstVersions.end() && it->second == version) {
     FirstVersions.erase(it);
@@ -58,7 +58,7 @@
   return it == Progress.end() ? nullptr : &it->second;
 }
 
-std::vector<RolloutProgress> VersionPolicy::all() const {
+std::vector<RolloutProgress> VersionPolicy::allProgress() const {
   std::vector<RolloutProgress> out;
   for (const auto &it : Progress) {
     out.push_back(it.second);
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -355,7 +355,7 @@
 
 wire::RolloutsT RolloutService::progressFrame() const {
   wire::RolloutsT out;
-  for (const auto &it : Parts.Versions.all()) {
+  for (const auto &it : Parts.Versions.allProgress()) {
     out.entries.push_back(toWire(it));
   }
   return out;
@@ -379,14 +379,14 @@
 }
 
 void RolloutService::onPeer(const Address &peer, std::uint64_t digest) {
-  if (digest != this->digest() && !Parts.Versions.all().empty()) {
+  if (digest != this->digest() && !Parts.Versions.allProgress().empty()) {
     Network.send(peer, frameBody(progressFrame()));
   }
 }
 
 std::uint64_t RolloutService::digest() const {
   std::uint64_t out = 0;
-  for (const auto &it : Parts.Versions.all()) {
+  for (const auto &it : Parts.Versions.allProgress()) {
     out ^= hash64(it.Service, it.Offset + 1);
   }
   return out;
--- a/tests/unit/mesh_state_test.cpp
+++ b/tests/unit/mesh_state_test.cpp
@@ -85,7 +85,7 @@
 TEST_CASE("versions get their agreed shares", "[mesh]") {
   OperatorState state(Codec);
   VersionPolicy versions(state);
-  versions.saw("s", "v1");
+  versions.addReadyVersion("s", "v1");
   CHECK(versions.share("s", "v1") == FullShare);
   CHECK(versions.share("s", "v2") == 0);
   state.apply({"rollout/s", R"({"targetVersion":"v2","durationS":12})", 3});
