--- a/include/chivefold/mesh/rollout_driver.h
+++ b/include/chivefold/mesh/rollout_driver.h
@@ -24,29 +24,30 @@
 class OrderClock {
 public:
   /** Notes that an order is in force; earlier notes of the order count. */
-  void sawOrder(const RolloutOrder &order, TimePoint now);
+  void recordOrder(const RolloutOrder &order, TimePoint now);
 
   /** Notes agreed progress and the time since its order that it states. */
-  void sawProgress(const RolloutProgress &progress, TimePoint now);
+  void recordProgress(const RolloutProgress &progress, TimePoint now);
 
   Duration elapsed(const RolloutOrder &order, TimePoint now) const;
 
 private:
   /** Latest time at which the order can have been given. */
-  struct Given {
+  struct OrderTime {
     std::uint64_t OrderOffset = 0;
-    TimePoint At{};
+    TimePoint OrderedAt{};
   };
-  void note(const std::string &service, std::uint64_t order, TimePoint given);
+  void record(const std::string &service, std::uint64_t order,
+              TimePoint orderedAt);
 
   /** By service; bounded by the orders and the progress that are kept. */
-  std::map<std::string, Given> Orders;
+  std::map<std::string, OrderTime> Orders;
 };
 
 struct RolloutSettings {
   ExposureLimit Exposure;
   /** Share before the rate of requests is known. */
-  std::uint32_t FirstShare = 300;
+  std::uint32_t InitialShare = 300;
   /** Bounds of the share while the version is tested. */
   std::uint32_t MinTestShare = 100;
   std::uint32_t MaxTestShare = 1500;
@@ -54,17 +55,17 @@
   double ShareTolerance = 0.3;
   /** Share before completion. A little less than all, so that the old version
    * still takes requests that failed at the new one. */
-  std::uint32_t TopShare = 9500;
+  std::uint32_t PreCompletionShare = 9500;
   /** Time before the deadline from which the version gets that share, if the
    * bound covers it until then: a version that is bad under its full load only
    * may be found too late. */
-  Duration TopFrom = std::chrono::milliseconds(850);
+  Duration PreCompletionLead = std::chrono::milliseconds(850);
   /** Time at the top share before completion, in which every daemon learns of
    * it and requests at the old version end. */
-  Duration TopShareTime = std::chrono::milliseconds(250);
+  Duration MinPreCompletionTime = std::chrono::milliseconds(250);
   /** Time before the deadline from which the rollout is completed; a write that
    * has to be repeated still is in time. */
-  Duration CompleteFrom = std::chrono::milliseconds(600);
+  Duration CompletionLead = std::chrono::milliseconds(600);
   /** Evidence against the version (1 is bad) above which no step is taken, and
    * with which it is taken back at its deadline. */
   double MaxSuspicion = 0.3;
@@ -72,7 +73,7 @@
   double MaxServerSuspicion = 0.2;
   /** Part of the servers of which more must be suspicious before the version
    * is: a few may be slow or failing by themselves. */
-  double SuspiciousPart = 0.5;
+  double SuspiciousServerFraction = 0.5;
   /** Calls of the new version before it gets the top share. */
   double MinTestCalls = 12;
   /** Calls after which a server counts as one that shows the version. */
@@ -82,7 +83,7 @@
 
 /** @return the settings with bounds that fit rollouts of some seconds: servers
  * of one service differ in speed, and new ones start cold. */
-RolloutSettings quickRolloutSettings(const ExposureLimit &exposure = {});
+RolloutSettings shortRolloutSettings(const ExposureLimit &exposure = {});
 
 /** The rollout as the driver sees it. */
 struct RolloutView {
@@ -91,7 +92,7 @@
   Duration TimeAllowed{};
   std::uint32_t ShareBasisPoints = 0;
   /** Servers of the target version that take work. */
-  unsigned AbleServers = 0;
+  unsigned ReadyServers = 0;
   std::vector<KindCounts> OldCounts;
   std::vector<KindCounts> NewCounts;
   /** The parts of NewCounts by the host of the server. */
@@ -130,22 +131,22 @@
   RolloutDecision tick(TimePoint now, const RolloutView &view);
 
 private:
-  void noteCounts(TimePoint now, const RolloutView &view);
+  void updateBudget(TimePoint now, const RolloutView &view);
   bool mayComplete(TimePoint now, const RolloutView &view) const;
   std::uint32_t testShare(TimePoint now, const RolloutView &view) const;
   RolloutDecision nextShare(TimePoint now, const RolloutView &view,
                             const std::string &evidence) const;
-  bool isShared(const RolloutView &view) const;
-  double suspicionBesideWorst() const;
-  bool isDoubtful(double suspicion, const RolloutView &view) const;
+  bool affectsMostServers(const RolloutView &view) const;
+  double suspicionExcludingWorstServer() const;
+  bool isVersionSuspect(double suspicion, const RolloutView &view) const;
 
   RolloutSettings Settings;
   ExposureBudget Budget;
   SequentialTest Test;
   /** Evidence of each server of the new version. */
   std::map<Address, SequentialTest> ServerTests;
-  std::uint32_t SeenShare = 0;
-  TimePoint ShareSince{};
+  std::uint32_t LastShare = 0;
+  TimePoint LastShareSince{};
   double NewCalls = 0;
 };
 
--- a/src/mesh/rollout_driver.cpp
+++ b/src/mesh/rollout_driver.cpp
@@ -14,36 +14,37 @@
 
 } // namespace
 
-void OrderClock::note(const std::string &service, std::uint64_t order,
-                      TimePoint given) {
+void OrderClock::record(const std::string &service, std::uint64_t order,
+                        TimePoint orderedAt) {
   auto &known = Orders[service];
-  if (known.At == TimePoint{} || known.OrderOffset < order) {
-    known = {order, given};
+  if (known.OrderedAt == TimePoint{} || known.OrderOffset < order) {
+    known = {order, orderedAt};
   } else if (known.OrderOffset == order) {
-    known.At = std::min(known.At, given);
+    known.OrderedAt = std::min(known.OrderedAt, orderedAt);
   }
 }
 
-void OrderClock::sawOrder(const RolloutOrder &order, TimePoint now) {
-  note(order.Service, order.Offset, now);
+void OrderClock::recordOrder(const RolloutOrder &order, TimePoint now) {
+  record(order.Service, order.Offset, now);
 }
 
-void OrderClock::sawProgress(const RolloutProgress &progress, TimePoint now) {
-  note(progress.Service, progress.OrderOffset, now - progress.Elapsed);
+void OrderClock::recordProgress(const RolloutProgress &progress,
+                                TimePoint now) {
+  record(progress.Service, progress.OrderOffset, now - progress.Elapsed);
 }
 
 Duration OrderClock::elapsed(const RolloutOrder &order, TimePoint now) const {
   const auto it = Orders.find(order.Service);
   return it == Orders.end() || it->second.OrderOffset != order.Offset
              ? Duration::zero()
-             : now - it->second.At;
+             : now - it->second.OrderedAt;
 }
 
 std::string_view rolloutActionName(RolloutAction action) {
   return ActionNames[static_cast<std::size_t>(action)];
 }
 
-RolloutSettings quickRolloutSettings(const ExposureLimit &exposure) {
+RolloutSettings shortRolloutSettings(const ExposureLimit &exposure) {
   RolloutSettings out;
   out.Exposure = exposure;
   // Servers differ in speed, but the mean over those of a version differs less;
@@ -59,7 +60,7 @@
 RolloutDriver::RolloutDriver(const RolloutSettings &settings)
     : Settings(settings), Budget(Settings.Exposure), Test(Settings.Test) {}
 
-void RolloutDriver::noteCounts(TimePoint now, const RolloutView &view) {
+void RolloutDriver::updateBudget(TimePoint now, const RolloutView &view) {
   const auto sum = [](const std::vector<KindCounts> &counts) {
     return std::accumulate(counts.begin(), counts.end(), 0.0,
                            [](double n, const KindCounts &it) {
@@ -72,49 +73,49 @@
 }
 
 bool RolloutDriver::mayComplete(TimePoint now, const RolloutView &view) const {
-  return view.ShareBasisPoints >= Settings.TopShare &&
-         now >= ShareSince + Settings.TopShareTime &&
-         now >= view.OrderedAt + view.TimeAllowed - Settings.CompleteFrom;
+  return view.ShareBasisPoints >= Settings.PreCompletionShare &&
+         now >= LastShareSince + Settings.MinPreCompletionTime &&
+         now >= view.OrderedAt + view.TimeAllowed - Settings.CompletionLead;
 }
 
 // What the bound of the exposure leaves for the time before the top share.
 std::uint32_t RolloutDriver::testShare(TimePoint now,
                                        const RolloutView &view) const {
   if (Budget.rate() <= 0) {
-    return Settings.FirstShare;
+    return Settings.InitialShare;
   }
   const auto deadline = view.OrderedAt + view.TimeAllowed;
-  const auto part =
-      Budget.fractionUntil(deadline - Settings.TopFrom, deadline, now);
-  return std::clamp(static_cast<std::uint32_t>(part * FullShare),
+  const auto fraction = Budget.fractionUntil(
+      deadline - Settings.PreCompletionLead, deadline, now);
+  return std::clamp(static_cast<std::uint32_t>(fraction * FullShare),
                     Settings.MinTestShare, Settings.MaxTestShare);
 }
 
 RolloutDecision RolloutDriver::nextShare(TimePoint now, const RolloutView &view,
                                          const std::string &evidence) const {
   const auto deadline = view.OrderedAt + view.TimeAllowed;
-  if (view.ShareBasisPoints >= Settings.TopShare) {
+  if (view.ShareBasisPoints >= Settings.PreCompletionShare) {
     return {};
   }
-  if (now >= deadline - Settings.TopFrom) {
+  if (now >= deadline - Settings.PreCompletionLead) {
     return NewCalls >= Settings.MinTestCalls &&
                    Budget.coversFullTraffic(deadline, now)
-               ? RolloutDecision{RolloutAction::SetShare, Settings.TopShare,
-                                 evidence}
+               ? RolloutDecision{RolloutAction::SetShare,
+                                 Settings.PreCompletionShare, evidence}
                : RolloutDecision{};
   }
-  const auto wanted = testShare(now, view);
-  const auto present = static_cast<double>(view.ShareBasisPoints);
-  const double off = std::abs(wanted - present);
-  return off > Settings.ShareTolerance * present
-             ? RolloutDecision{RolloutAction::SetShare, wanted, evidence}
+  const auto newShare = testShare(now, view);
+  const auto currentShare = static_cast<double>(view.ShareBasisPoints);
+  const double difference = std::abs(newShare - currentShare);
+  return difference > Settings.ShareTolerance * currentShare
+             ? RolloutDecision{RolloutAction::SetShare, newShare, evidence}
              : RolloutDecision{};
 }
 
 // Whether the evidence comes from most of the servers that have shown the
 // version.
-bool RolloutDriver::isShared(const RolloutView &view) const {
-  std::size_t showing = 0;
+bool RolloutDriver::affectsMostServers(const RolloutView &view) const {
+  std::size_t measured = 0;
   std::size_t suspicious = 0;
   for (const auto &it : view.NewByHost) {
     const auto test = ServerTests.find(it.first);
@@ -122,18 +123,18 @@
         test->second.callsSinceRestart() < Settings.MinServerCalls) {
       continue;
     }
-    ++showing;
+    ++measured;
     suspicious +=
         test->second.assess().Suspicion > Settings.MaxServerSuspicion ? 1 : 0;
   }
-  return static_cast<double>(suspicious) >
-             Settings.SuspiciousPart * static_cast<double>(showing) ||
-         showing == 0;
+  return static_cast<double>(suspicious) > Settings.SuspiciousServerFraction *
+                                               static_cast<double>(measured) ||
+         measured == 0;
 }
 
 // At a small share each of many servers shows little: what they show together
 // counts, but for the one that may be failing by itself.
-double RolloutDriver::suspicionBesideWorst() const {
+double RolloutDriver::suspicionExcludingWorstServer() const {
   double sum = 0;
   double worst = 0;
   for (const auto &it : ServerTests) {
@@ -145,18 +146,19 @@
 }
 
 // Whether the evidence is against the version and not against one server.
-bool RolloutDriver::isDoubtful(double suspicion,
-                               const RolloutView &view) const {
+bool RolloutDriver::isVersionSuspect(double suspicion,
+                                     const RolloutView &view) const {
   return suspicion > Settings.MaxSuspicion &&
-         (isShared(view) || suspicionBesideWorst() > Settings.MaxSuspicion);
+         (affectsMostServers(view) ||
+          suspicionExcludingWorstServer() > Settings.MaxSuspicion);
 }
 
 RolloutDecision RolloutDriver::tick(TimePoint now, const RolloutView &view) {
-  if (view.ShareBasisPoints != SeenShare || ShareSince == TimePoint{}) {
-    SeenShare = view.ShareBasisPoints;
-    ShareSince = now;
+  if (view.ShareBasisPoints != LastShare || LastShareSince == TimePoint{}) {
+    LastShare = view.ShareBasisPoints;
+    LastShareSince = now;
   }
-  noteCounts(now, view);
+  updateBudget(now, view);
   Test.update(view.OldCounts, view.NewCounts);
   for (const auto &it : view.NewByHost) {
     if (ServerTests.size() < MaxServers || ServerTests.count(it.first) > 0) {
@@ -165,12 +167,12 @@
     }
   }
   const auto assessment = Test.assess();
-  const bool doubtful = isDoubtful(assessment.Suspicion, view);
-  const bool isOver = now >= view.OrderedAt + view.TimeAllowed;
-  if (doubtful && (assessment.Result == TestVerdict::Bad || isOver)) {
+  const bool suspect = isVersionSuspect(assessment.Suspicion, view);
+  const bool deadlinePassed = now >= view.OrderedAt + view.TimeAllowed;
+  if (suspect && (assessment.Result == TestVerdict::Bad || deadlinePassed)) {
     return {RolloutAction::RollBack, 0, assessment.Evidence};
   }
-  if (view.AbleServers == 0 || doubtful) {
+  if (view.ReadyServers == 0 || suspect) {
     return {};
   }
   if (mayComplete(now, view)) {
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -89,7 +89,7 @@
   if (!Parts.Versions.apply(progress)) {
     return false;
   }
-  Clock.sawProgress(progress, Loop.now());
+  Clock.recordProgress(progress, Loop.now());
   Lines.info("progress", {{"service", progress.Service},
                           {"target", progress.TargetVersion},
                           {"phase", rolloutPhaseName(progress.Phase)},
@@ -101,7 +101,7 @@
 
 void RolloutService::ordersChanged() {
   for (const auto &it : Parts.Orders.rollouts()) {
-    Clock.sawOrder(it.second, Loop.now());
+    Clock.recordOrder(it.second, Loop.now());
   }
 }
 
@@ -233,7 +233,7 @@
   view.OrderedAt = Loop.now() - Clock.elapsed(order, Loop.now());
   view.TimeAllowed = order.TimeAllowed;
   view.ShareBasisPoints = progress.ShareBasisPoints;
-  view.AbleServers =
+  view.ReadyServers =
       Parts.Servers.ableServers(order.Service, order.TargetVersion);
   KindSums oldSums;
   KindSums newSums;
--- a/tests/unit/mesh_state_test.cpp
+++ b/tests/unit/mesh_state_test.cpp
@@ -172,18 +172,18 @@
   RolloutOrder order;
   order.Service = "s";
   order.Offset = 3;
-  clock.sawOrder(order, at(100'000));
+  clock.recordOrder(order, at(100'000));
   auto step = progress(RolloutPhase::Running, 2500, 5);
   step.Elapsed = milliseconds(5000);
-  clock.sawProgress(step, at(100'000));
+  clock.recordProgress(step, at(100'000));
   CHECK(clock.elapsed(order, at(100'000)) == milliseconds(5000));
   CHECK(clock.elapsed(order, at(104'000)) == milliseconds(9000));
   // A time that was stated later and is shorter does not set it back.
   step.Elapsed = milliseconds(6000);
-  clock.sawProgress(step, at(104'000));
+  clock.recordProgress(step, at(104'000));
   CHECK(clock.elapsed(order, at(104'000)) == milliseconds(9000));
   order.Offset = 9;
-  clock.sawOrder(order, at(105'000));
+  clock.recordOrder(order, at(105'000));
   CHECK(clock.elapsed(order, at(106'000)) == milliseconds(1000));
 }
 
@@ -191,11 +191,11 @@
 // that is not finished within its time.
 TEST_CASE("a rollout ends by its evidence", "[mesh]") {
   for (const bool bad : {false, true}) {
-    RolloutDriver driver(quickRolloutSettings());
+    RolloutDriver driver(shortRolloutSettings());
     RolloutView view;
     view.OrderedAt = at(0);
     view.TimeAllowed = std::chrono::seconds(16);
-    view.AbleServers = 4;
+    view.ReadyServers = 4;
     KindCounts oldCounts;
     KindCounts newCounts;
     RolloutAction end = RolloutAction::None;
@@ -232,11 +232,11 @@
 // one.
 TEST_CASE("one failing server is not a bad version", "[mesh]") {
   for (const bool bad : {false, true}) {
-    RolloutDriver driver(quickRolloutSettings());
+    RolloutDriver driver(shortRolloutSettings());
     RolloutView view;
     view.OrderedAt = at(0);
     view.TimeAllowed = std::chrono::seconds(16);
-    view.AbleServers = 2;
+    view.ReadyServers = 2;
     KindCounts oldCounts;
     std::array<KindCounts, 2> newCounts;
     double arrived = 0;
@@ -271,11 +271,11 @@
 // to many servers, none of which showed enough by itself.
 TEST_CASE("failures on many servers count together", "[mesh]") {
   constexpr std::size_t servers = 24;
-  RolloutDriver driver(quickRolloutSettings());
+  RolloutDriver driver(shortRolloutSettings());
   RolloutView view;
   view.OrderedAt = at(0);
   view.TimeAllowed = std::chrono::seconds(14);
-  view.AbleServers = servers;
+  view.ReadyServers = servers;
   KindCounts oldCounts;
   std::array<KindCounts, servers> newCounts;
   double arrived = 0;
--- a/tests/unit/rollout_exposure_test.cpp
+++ b/tests/unit/rollout_exposure_test.cpp
@@ -65,10 +65,10 @@
 class Simulation {
 public:
   explicit Simulation(const Rollout &rollout)
-      : Plan(rollout), Random(rollout.Seed), Driver(quickRolloutSettings()) {
+      : Plan(rollout), Random(rollout.Seed), Driver(shortRolloutSettings()) {
     View.OrderedAt = at(0);
     View.TimeAllowed = milliseconds(rollout.TimeMs);
-    View.AbleServers = 4;
+    View.ReadyServers = 4;
   }
 
   Result run() {
