--- a/include/chivefold/mesh/mesh_configuration.h
+++ b/include/chivefold/mesh/mesh_configuration.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The operator's configuration as the proxies of the mesh apply it.
+ * The operator's routing configuration, as applied by the proxies of the mesh.
  */
 #ifndef CHIVEFOLD_MESH_MESH_CONFIGURATION_H
 #define CHIVEFOLD_MESH_MESH_CONFIGURATION_H
@@ -17,46 +17,49 @@
 
 namespace chivefold {
 
-/** What may be done with a request whose first attempt may have run. */
+/** Whether a request may be repeated after an attempt that may have executed.
+ */
 enum class RequestKind : std::uint8_t { Idempotent, AtMostOnce };
 
 /** @return "idempotent" or "at-most-once". Thread-safe. */
 std::string_view requestKindName(RequestKind kind);
 
-/** A service that gets a part of a route's requests. */
+/** A service that receives part of a route's requests, by weight. */
 struct WeightedService {
   std::string Service;
   std::uint32_t Weight = 1;
 };
 
+/** Maps requests for a host name and path prefix to services. */
 struct MeshRoute {
   std::string Name;
   std::string Hostname;
   /** Begins and ends with '/'. */
   std::string PathPrefix;
   RequestKind Kind = RequestKind::AtMostOnce;
-  /** Longest time for which a request may be held. */
+  /** Maximum time for which the proxy may hold a request. */
   Duration Timeout{};
-  /** Time within which an answer has its full value. */
+  /** Response time up to which an answer keeps its full value. */
   Duration TargetLatency{};
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   std::uint32_t Priority = 0;
-  /** Servers on which one request may run. */
+  /** Maximum number of servers on which one request may execute. */
   std::uint32_t MaxAttempts = 1;
-  /** At least one; requests are split by weight. */
+  /** At least one; requests are distributed by weight. */
   std::vector<WeightedService> Services;
 };
 
+/** A service and the limits of each of its backend servers. */
 struct MeshService {
   std::string Name;
   std::string HealthPath;
-  /** Connections that one server accepts from all callers. */
+  /** Connections that one server accepts from all callers together. */
   std::uint32_t MaxConnections = 0;
-  /** Requests a second that one server bears while it is cold. */
+  /** Requests per second that one server can handle while it warms up. */
   double ColdRate = 0;
 };
 
-/** What clients may send. */
+/** Limits on client connections and requests. */
 struct ClientLimits {
   std::size_t MaxHeaderBytes = 16384;
   std::size_t MaxBodyBytes = 1U << 20U;
@@ -64,22 +67,23 @@
   Duration IdleTimeout = std::chrono::seconds(60);
 };
 
-/** One complete version. */
+/** One complete version of the configuration. */
 struct MeshConfiguration {
-  /** Rises with each version; 0 means none. */
+  /** Increases with each version; 0 means no configuration. */
   std::uint64_t Version = 0;
   std::vector<MeshRoute> Routes;
   std::map<std::string, MeshService, std::less<>> Services;
   ClientLimits Limits;
 };
 
-/** Finds the route of a request. Immutable; thread-safe. */
+/** Looks up the route of a request. Immutable; thread-safe. */
 class RouteTable {
 public:
   explicit RouteTable(MeshConfiguration configuration);
 
-  /** @param hostname may carry a port. @return the route of that host with the
-   * longest prefix of @p path, or null. Valid as long as the table. */
+  /** @param hostname compared without case; a port is ignored.
+   * @return the route of the host name with the longest prefix of @p path, or
+   * null. Valid for the lifetime of the table. */
   const MeshRoute *find(std::string_view hostname, std::string_view path) const;
 
   /** @return the service, or null. */
--- a/src/mesh/mesh_configuration.cpp
+++ b/src/mesh/mesh_configuration.cpp
@@ -11,7 +11,7 @@
 constexpr std::array<std::string_view, 2> KindNames{"idempotent",
                                                     "at-most-once"};
 
-// Host names are compared without case and without a port.
+// Converts to lower case and removes the port.
 std::string canonicalHostname(std::string_view hostname) {
   std::string out(hostname.substr(0, hostname.find(':')));
   std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) {
@@ -41,7 +41,8 @@
   if (host == RoutesByHostname.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash, so each slash of the path ends a candidate.
+  // Prefixes end with a slash, so only the parts of the path up to a slash are
+  // candidates; the longest one is tried first.
   for (auto n = path.rfind('/'); n != std::string_view::npos;
        n = n == 0 ? std::string_view::npos : path.rfind('/', n - 1)) {
     const auto it = host->second.find(std::string(path.substr(0, n + 1)));
