--- a/include/chivefold/mesh/operator_state.h
+++ b/include/chivefold/mesh/operator_state.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the operator ordered, as read from the platform's store.
+ * The operator's orders, as read from the platform's store.
  */
 #ifndef CHIVEFOLD_MESH_OPERATOR_STATE_H
 #define CHIVEFOLD_MESH_OPERATOR_STATE_H
@@ -19,79 +19,86 @@
 
 namespace chivefold {
 
-/** Newest record of a key in a stream of keyed records. */
+/** Record of a stream in which the newest record of a key replaces the older
+ * ones. */
 struct KeyedRecord {
   std::string Key;
-  /** Absent if the key was dropped. */
+  /** Absent if the key was deleted. */
   std::optional<std::string> Value;
-  /** Place in the stream, from 0. */
+  /** Offset in the stream, from 0. */
   std::uint64_t Offset = 0;
 };
 
-/** An order to move a service's traffic to servers of a new version. */
+/** Order to move the traffic of a service to servers of a new version. */
 struct RolloutOrder {
   std::string Service;
   std::string TargetVersion;
   Duration TimeAllowed{};
-  /** Identifies the order: the place of its record. */
+  /** Offset of the order's record, which identifies the order. */
   std::uint64_t Offset = 0;
 };
 
-/** An order that a data centre's servers get nothing until it is dropped. */
+/** Order to send no requests to the servers of a data centre until the order is
+ * deleted. */
 struct EvacuationOrder {
   std::string DataCentre;
 };
 
-/** One decoded record of the operator; empty for a key of another kind. */
+/** A decoded operator record; std::monostate if the key is of no known kind. */
 using OperatorOrder = std::variant<std::monostate, MeshConfiguration,
                                    RolloutOrder, EvacuationOrder>;
 
-/** Decodes the operator's records. Implementations are thread-safe. */
+/** Decodes operator records. Implementations must be thread-safe. */
 class OperatorCodec {
 public:
   virtual ~OperatorCodec() = default;
-  /** @return the order, or InvalidRecord. */
+  /** @return the order, or InvalidRecord if the value cannot be decoded. */
   virtual Result<OperatorOrder> decode(std::string_view key,
                                        std::string_view value) const = 0;
-  /** @return what a dropped key stood for, without its content. */
+  /** @return an order of the kind and name that the key denotes, without the
+   * fields of its value; used for deleted keys. */
   virtual OperatorOrder decodeKey(std::string_view key) const = 0;
 };
 
-/** What a record changed. */
+/** Effect of applied records on the operator state. */
 struct OperatorChange {
   bool Configuration = false;
   bool Rollouts = false;
   bool Evacuations = false;
-  /** Why the record was ignored; Code is Ok if it was not. */
+  /** Reason for which a record was ignored; Code is Ok if none was. */
   Reason Ignored;
 
   bool any() const { return Configuration || Rollouts || Evacuations; }
 };
 
 /**
- * The newest orders by key. A record counts only if it lies behind the one that
- * its key has, and a configuration only if its version is higher, so that a
- * delayed or repeated read never brings back older content. Raw records are
- * kept for daemons that cannot read the store. Not thread-safe.
+ * The newest orders by key. A record is applied only if its offset is higher
+ * than that of the stored record of its key, and a configuration only if its
+ * version is higher, so that a delayed or repeated read never restores older
+ * content. Raw records are kept for daemons that cannot read the store. Not
+ * thread-safe.
  */
 class OperatorState {
 public:
-  /** Keys kept; further ones are ignored with a reason. */
+  /** Maximum number of keys; records of further keys are ignored. */
   static constexpr std::size_t MaxKeys = 4096;
 
   explicit OperatorState(const OperatorCodec &codec);
 
+  /** Applies one record if it is newer than the stored one of its key. */
   OperatorChange apply(const KeyedRecord &record);
 
   /**
-   * Takes a complete listing of the newest records: keys that are not in it
-   * and whose record lies before @p end were dropped.
+   * Applies a complete listing of the newest records up to @p end. Stored keys
+   * that are not listed and whose record is before @p end count as deleted.
    */
   OperatorChange applyListing(const std::vector<KeyedRecord> &listing,
                               std::uint64_t end);
 
-  /** The stream was read up to this place. Never goes back. */
+  /** Records that the stream was read up to @p end. A lower value than before
+   * has no effect. */
   void advance(std::uint64_t end);
+  /** @return the offset up to which the stream was read. */
   std::uint64_t end() const { return End; }
 
   /** @return the configuration in force, or null before the first. */
@@ -104,7 +111,7 @@
     return Evacuated;
   }
 
-  /** @return the newest record of each key, dropped keys included. */
+  /** @return the newest record of each key, including deleted keys. */
   std::vector<KeyedRecord> records() const;
 
 private:
--- a/src/mesh/operator_state.cpp
+++ b/src/mesh/operator_state.cpp
@@ -86,8 +86,9 @@
                     [&](const auto &r) { return r.Key == known.Key; });
     if (!listed && known.Value && known.Offset < end) {
       known.Value.reset();
-      // It was dropped somewhere before the end; peers that know less ask for
-      // what lies behind their place.
+      // The offset of the deletion is not known. The highest possible one makes
+      // the deletion part of the answer to each peer that asks for the records
+      // after its own, lower offset.
       known.Offset = end - 1;
       merge(change, applyDeletion(known));
     }
