--- a/include/chivefold/mesh/order_readers.h
+++ b/include/chivefold/mesh/order_readers.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Which hosts read the operator's stream for the others.
+ * Selects the hosts that read the operator's stream on behalf of the others.
  */
 #ifndef CHIVEFOLD_MESH_ORDER_READERS_H
 #define CHIVEFOLD_MESH_ORDER_READERS_H
@@ -12,16 +12,18 @@
 namespace chivefold {
 
 /**
- * Chooses a few readers in each data centre by rendezvous hashing (Thaler and
- * Ravishankar, 1998) over the hosts that can be reached: no election, and calls
- * of the store that grow with the number of data centres. Daemons whose views
- * differ choose more readers for a while, which is harmless. Not thread-safe.
+ * Selects a few readers in each data centre by rendezvous hashing (Thaler and
+ * Ravishankar, 1998) over the reachable hosts. This needs no election, and the
+ * number of calls to the store grows with the number of data centres and not
+ * with the number of hosts. While the views of the daemons differ, more hosts
+ * may act as readers, which is harmless. Not thread-safe.
  */
 class OrderReaders {
 public:
   static constexpr std::size_t ReadersPerDataCentre = 2;
 
-  /** @param own address and @param dataCentre of this host. */
+  /** @param own address of this host.
+   * @param dataCentre data centre of this host. */
   OrderReaders(const FleetTable &fleet, Address own, std::string dataCentre);
 
   /** @return whether this host is one of the readers. */
