--- a/include/chivefold/mesh/rollout_driver.h
+++ b/include/chivefold/mesh/rollout_driver.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Decides the steps of one rollout.
+ * Controls the traffic share of the new version during one rollout.
  */
 #ifndef CHIVEFOLD_MESH_ROLLOUT_DRIVER_H
 #define CHIVEFOLD_MESH_ROLLOUT_DRIVER_H
@@ -17,18 +17,20 @@
 namespace chivefold {
 
 /**
- * Time since each order was given, as far as this daemon can tell. A daemon
- * that started later goes on from the time in the agreed progress. Not
- * thread-safe.
+ * Time since each rollout order was given. The time is only known as far as
+ * this daemon observed it: a daemon that started after the order continues from
+ * the elapsed time in the agreed progress. Not thread-safe.
  */
 class OrderClock {
 public:
-  /** Notes that an order is in force; earlier notes of the order count. */
+  /** Records that an order is in force. The earliest record of an order counts.
+   */
   void recordOrder(const RolloutOrder &order, TimePoint now);
 
-  /** Notes agreed progress and the time since its order that it states. */
+  /** Records the elapsed time that agreed progress states. */
   void recordProgress(const RolloutProgress &progress, TimePoint now);
 
+  /** @return time since @p order; zero if the order was not recorded. */
   Duration elapsed(const RolloutOrder &order, TimePoint now) const;
 
 private:
@@ -40,62 +42,69 @@
   void record(const std::string &service, std::uint64_t order,
               TimePoint orderedAt);
 
-  /** By service; bounded by the orders and the progress that are kept. */
+  /** Key: service. Bounded by the number of stored orders and progress records.
+   */
   std::map<std::string, OrderTime> Orders;
 };
 
+/** Parameters of RolloutDriver. Shares are in 1/10,000 of the requests. */
 struct RolloutSettings {
   ExposureLimit Exposure;
-  /** Share before the rate of requests is known. */
+  /** Share before the request rate is known. */
   std::uint32_t InitialShare = 300;
   /** Bounds of the share while the version is tested. */
   std::uint32_t MinTestShare = 100;
   std::uint32_t MaxTestShare = 1500;
-  /** A test share is changed only if it is off by more than this part. */
+  /** Relative difference above which the test share is changed. */
   double ShareTolerance = 0.3;
-  /** Share before completion. A little less than all, so that the old version
-   * still takes requests that failed at the new one. */
+  /** Share shortly before completion. It is less than FullShare, so that the
+   * old version still takes requests that failed on the new one. */
   std::uint32_t PreCompletionShare = 9500;
-  /** Time before the deadline from which the version gets that share, if the
-   * bound covers it until then: a version that is bad under its full load only
-   * may be found too late. */
+  /** Time before the deadline at which the version receives PreCompletionShare,
+   * if the exposure limit covers that share up to the deadline. The check is
+   * needed because a version that fails only under full load may be detected
+   * too late. */
   Duration PreCompletionLead = std::chrono::milliseconds(850);
-  /** Time at the top share before completion, in which every daemon learns of
-   * it and requests at the old version end. */
+  /** Minimum time at PreCompletionShare before completion, in which all daemons
+   * learn of the share and requests on the old version finish. */
   Duration MinPreCompletionTime = std::chrono::milliseconds(250);
-  /** Time before the deadline from which the rollout is completed; a write that
-   * has to be repeated still is in time. */
+  /** Time before the deadline at which the rollout is completed, so that a
+   * write that must be repeated is still in time. */
   Duration CompletionLead = std::chrono::milliseconds(600);
-  /** Evidence against the version (1 is bad) above which no step is taken, and
-   * with which it is taken back at its deadline. */
+  /** Suspicion of the version (1 means bad) above which the share is not
+   * changed and the rollout is not completed, but rolled back at its deadline.
+   */
   double MaxSuspicion = 0.3;
-  /** The same for one server, which has only a part of the evidence. */
+  /** Suspicion above which a single server counts as suspicious. It is lower
+   * than MaxSuspicion because one server has only a part of the evidence. */
   double MaxServerSuspicion = 0.2;
-  /** Part of the servers of which more must be suspicious before the version
-   * is: a few may be slow or failing by themselves. */
+  /** Fraction of the measured servers of which more must be suspicious before
+   * the version is; a few servers may be slow or fail for reasons of their own.
+   */
   double SuspiciousServerFraction = 0.5;
-  /** Calls of the new version before it gets the top share. */
+  /** Calls of the new version required before PreCompletionShare. */
   double MinTestCalls = 12;
-  /** Calls after which a server counts as one that shows the version. */
+  /** Calls from which a server counts as measured. */
   double MinServerCalls = 4;
   SequentialTestSettings Test;
 };
 
-/** @return the settings with bounds that fit rollouts of some seconds: servers
- * of one service differ in speed, and new ones start cold. */
+/** @return settings for rollouts of a few seconds. The thresholds allow for
+ * servers of one service that differ in speed and for cold starts of new ones.
+ */
 RolloutSettings shortRolloutSettings(const ExposureLimit &exposure = {});
 
-/** The rollout as the driver sees it. */
+/** Input of a driver decision. */
 struct RolloutView {
-  /** When the order was given, as far as known. */
+  /** Time of the order, as far as this daemon knows it. */
   TimePoint OrderedAt{};
   Duration TimeAllowed{};
   std::uint32_t ShareBasisPoints = 0;
-  /** Servers of the target version that take work. */
+  /** Reachable servers of the target version that accept requests. */
   unsigned ReadyServers = 0;
   std::vector<KindCounts> OldCounts;
   std::vector<KindCounts> NewCounts;
-  /** The parts of NewCounts by the host of the server. */
+  /** NewCounts split by the host of the server. */
   std::map<Address, std::vector<KindCounts>> NewByHost;
 };
 
@@ -107,43 +116,52 @@
 struct RolloutDecision {
   RolloutAction Action = RolloutAction::None;
   std::uint32_t ShareBasisPoints = 0;
-  /** What the decision rests on. */
+  /** Evidence on which the decision is based. */
   std::string Evidence;
 };
 
 /**
- * Tests the version at the share that the bound of its exposure allows, gives
- * it nearly all requests shortly before the deadline if the evidence allows
- * that, and takes it back as soon as the sequential test calls it bad on most
- * of its servers. Answers versions that fail or slow down at once, late, under
- * load or on one route, and good versions of which one server is slow. One
- * object for each order. Not thread-safe.
+ * Controls one rollout order. Tests the version at the share that the exposure
+ * limit allows, sends it nearly all requests shortly before the deadline if the
+ * evidence allows that, and rolls it back as soon as the sequential test finds
+ * it bad on most of its servers. Handles versions that fail or slow down at
+ * once, later, under load or on one route, and good versions of which one
+ * server is slow. One object for each order. Not thread-safe.
  */
 class RolloutDriver {
 public:
-  /** Servers whose own evidence is kept. */
+  /** Maximum number of servers for which separate evidence is kept. */
   static constexpr std::size_t MaxServers = 64;
 
   explicit RolloutDriver(const RolloutSettings &settings);
 
-  /** Call a few times a second. The decision is repeated until the view shows
-   * its effect. */
+  /** Returns the next step. To be called a few times per second; a decision is
+   * repeated until the view shows its effect. */
   RolloutDecision tick(TimePoint now, const RolloutView &view);
 
 private:
   void updateBudget(TimePoint now, const RolloutView &view);
   bool mayComplete(TimePoint now, const RolloutView &view) const;
+  /** @return the share that the exposure limit allows before
+   * PreCompletionLead. */
   std::uint32_t testShare(TimePoint now, const RolloutView &view) const;
   RolloutDecision nextShare(TimePoint now, const RolloutView &view,
                             const std::string &evidence) const;
+  /** @return whether most measured servers are suspicious, or no server is
+   * measured. */
   bool affectsMostServers(const RolloutView &view) const;
+  /** @return the sum of the servers' suspicions without the highest one. With a
+   * small share, each of many servers has little evidence, so the sum is used;
+   * the worst server is left out because it may be the only faulty one. */
   double suspicionExcludingWorstServer() const;
+  /** @return whether the evidence is against the version and not against a
+   * single server. */
   bool isVersionSuspect(double suspicion, const RolloutView &view) const;
 
   RolloutSettings Settings;
   ExposureBudget Budget;
   SequentialTest Test;
-  /** Evidence of each server of the new version. */
+  /** Separate tests of each server of the new version. */
   std::map<Address, SequentialTest> ServerTests;
   std::uint32_t LastShare = 0;
   TimePoint LastShareSince{};
--- a/src/mesh/rollout_driver.cpp
+++ b/src/mesh/rollout_driver.cpp
@@ -47,8 +47,8 @@
 RolloutSettings shortRolloutSettings(const ExposureLimit &exposure) {
   RolloutSettings out;
   out.Exposure = exposure;
-  // Servers differ in speed, but the mean over those of a version differs less;
-  // a slow version is several times slower.
+  // Single servers differ in speed by more than the means of two good versions
+  // do; a slow version is slower by a larger factor.
   out.Test.LatencyFactor = 2.5;
   out.Test.MinLatencyCalls = 8;
   out.Test.ErrorMargin = 0.08;
@@ -78,7 +78,6 @@
          now >= view.OrderedAt + view.TimeAllowed - Settings.CompletionLead;
 }
 
-// What the bound of the exposure leaves for the time before the top share.
 std::uint32_t RolloutDriver::testShare(TimePoint now,
                                        const RolloutView &view) const {
   if (Budget.rate() <= 0) {
@@ -112,8 +111,6 @@
              : RolloutDecision{};
 }
 
-// Whether the evidence comes from most of the servers that have shown the
-// version.
 bool RolloutDriver::affectsMostServers(const RolloutView &view) const {
   std::size_t measured = 0;
   std::size_t suspicious = 0;
@@ -132,8 +129,6 @@
          measured == 0;
 }
 
-// At a small share each of many servers shows little: what they show together
-// counts, but for the one that may be failing by itself.
 double RolloutDriver::suspicionExcludingWorstServer() const {
   double sum = 0;
   double worst = 0;
@@ -145,7 +140,6 @@
   return sum - worst;
 }
 
-// Whether the evidence is against the version and not against one server.
 bool RolloutDriver::isVersionSuspect(double suspicion,
                                      const RolloutView &view) const {
   return suspicion > Settings.MaxSuspicion &&
