--- a/include/chivefold/mesh/version_policy.h
+++ b/include/chivefold/mesh/version_policy.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Which versions of a service may get requests, and in which share.
+ * Traffic shares of the versions of a service.
  */
 #ifndef CHIVEFOLD_MESH_VERSION_POLICY_H
 #define CHIVEFOLD_MESH_VERSION_POLICY_H
@@ -17,67 +17,72 @@
 
 namespace chivefold {
 
-/** How far a rollout is; the last two are final. */
+/** Phase of a rollout; Completed and RolledBack are final. */
 enum class RolloutPhase : std::uint8_t { Running, Completed, RolledBack };
 
 /** @return "running", "completed" or "rolled-back". Thread-safe. */
 std::string_view rolloutPhaseName(RolloutPhase phase);
 
+/** Share of all requests, in 1/10,000. */
 constexpr std::uint32_t FullShare = 10'000;
 
-/** The agreed progress of one rollout, a record in the platform's store. */
+/** Agreed progress of one rollout, a record in the platform's store. */
 struct RolloutProgress {
   std::string Service;
   std::string TargetVersion;
-  /** Order that it belongs to. */
+  /** Offset of the order that the progress belongs to. */
   std::uint64_t OrderOffset = 0;
   RolloutPhase Phase = RolloutPhase::Running;
   /** Share of the target version in 1/10,000. */
   std::uint32_t ShareBasisPoints = 0;
-  /** Time since the order, so that another driver can take over. */
+  /** Time since the order, from which another driver can take over. */
   Duration Elapsed{};
-  /** Earlier versions that were rolled back and must get nothing. */
+  /** Versions that were rolled back earlier and must receive no requests. */
   std::vector<std::string> Rejected;
-  /** Version that was completed before this rollout; "" if none was. */
+  /** Version that was completed before this rollout; "" if there is none. */
   std::string BaseVersion;
-  /** Place of the record in its stream; progress with a lower one is older. */
+  /** Offset of the record in its stream; progress with a lower one is older. */
   std::uint64_t Offset = 0;
 };
 
 /**
- * Shares of versions by the orders and their agreed progress. A version that an
- * order names gets nothing until progress gives it a share; without any order
- * the version that was seen first keeps all requests while it has servers. Not
+ * Determines the traffic shares of versions from the rollout orders and their
+ * agreed progress. The target version of an order receives no requests until
+ * progress assigns it a share. Without any order, the version that was recorded
+ * as ready first receives all requests until its removal is recorded. Not
  * thread-safe.
  */
 class VersionPolicy {
 public:
-  /** Services whose progress is kept. */
+  /** Maximum number of services for which progress is kept. */
   static constexpr std::size_t MaxServices = 1024;
 
   explicit VersionPolicy(const OperatorState &orders);
 
-  /** @return whether the progress is newer than what is known. */
+  /** Stores progress that is newer than the known one.
+   * @return whether it was stored. */
   bool apply(const RolloutProgress &progress);
 
-  /** Notes a version that has a ready server; the first one is remembered. */
+  /** Records that the version has a ready server; the first version of each
+   * service is remembered. */
   void addReadyVersion(const std::string &service, const std::string &version);
-  /** The version has no ready server any more. */
+  /** Records that the version no longer has a ready server. */
   void removeReadyVersion(const std::string &service,
                           const std::string &version);
 
-  /** @return share of @p version in 1/10,000; FullShare for a version that
-   * takes what the target leaves. */
+  /** @return the share of @p version in 1/10,000: 0 for a rejected version, and
+   * FullShare for a version that no rollout limits. */
   std::uint32_t share(std::string_view service, std::string_view version) const;
 
-  /** @return the version that gets a part of the requests, with its share, if
-   * a rollout runs. */
+  /** Target version of a running rollout and its share. */
   struct Split {
     std::string Target;
     std::uint32_t ShareBasisPoints = 0;
   };
+  /** @return the split, or nullopt if no rollout is running. */
   std::optional<Split> split(std::string_view service) const;
 
+  /** @return the agreed progress, or null if there is none. */
   const RolloutProgress *progress(std::string_view service) const;
   std::vector<RolloutProgress> allProgress() const;
 
