--- a/include/chivefold/mesh/fleet_table.h
+++ b/include/chivefold/mesh/fleet_table.h
@@ -128,7 +128,8 @@
    */
   std::vector<Address> selectProbeTargets(TimePoint now);
 
-  /** Drops hosts that have been unreachable for ForgetAfter. @return them. */
+  /** Removes hosts that are unreachable and were not seen for ExpireAfter.
+   * @return the removed hosts. */
   std::vector<Address> removeExpired(TimePoint now);
 
 private:
