--- a/tests/unit/mesh_state_test.cpp
+++ b/tests/unit/mesh_state_test.cpp
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Guards against a request that goes to a shorter prefix, another host or a
-// route of a similar name.
+// Guards against routing a request to a shorter prefix, to another host name or
+// to a route whose prefix only resembles the path.
 TEST_CASE("the longest prefix of the host wins", "[mesh]") {
   OperatorState state(Codec);
   const auto change = state.apply(
@@ -61,8 +61,8 @@
   CHECK(routes.configuration().Limits.MaxBodyBytes == 1000);
 }
 
-// Guards against a configuration that goes back when a stale or repeated read
-// arrives, and against one that is applied in part.
+// Guards against an older configuration that is restored by a stale or repeated
+// read, and against a configuration that is applied only in part.
 TEST_CASE("orders never go back", "[mesh]") {
   OperatorState state(Codec);
   state.apply({"config", configuration(9, route("/new/")), 4});
@@ -74,14 +74,14 @@
   CHECK(state.apply({"evacuate/z", "{}", 7}).Evacuations);
   CHECK(state.isEvacuated("z"));
   CHECK_FALSE(state.apply({"evacuate/z", std::nullopt, 2}).any());
-  // A listing without the key, read behind its record, ends the order.
+  // A listing that was read after the record and lacks its key ends the order.
   CHECK(state.applyListing({}, 8).Evacuations);
   CHECK_FALSE(state.isEvacuated("z"));
   CHECK(state.routes()->configuration().Version == 9);
 }
 
-// Guards against requests at a version before its share is agreed, after it was
-// taken back, and at the old one after completion.
+// Guards against requests to a version before its share is agreed or after it
+// was rolled back, and against requests to the old version after completion.
 TEST_CASE("versions get their agreed shares", "[mesh]") {
   OperatorState state(Codec);
   VersionPolicy versions(state);
@@ -102,8 +102,8 @@
   CHECK(versions.share("s", "v1") == 0);
 }
 
-// Guards against a second run of work that may run at most once, and against a
-// refusal that says "not run" after it may have run.
+// Guards against a second execution of an at-most-once request, and against a
+// "not run" response to a request that may have executed.
 TEST_CASE("work that may have run is not repeated", "[mesh]") {
   RetryTokens tokens(at(0));
   AttemptFacts facts;
@@ -129,8 +129,8 @@
 }
 
 // Guards against an old state of a host that replaces a newer one, and against
-// a restarted host that is taken for its predecessor.
-TEST_CASE("a host's own newest word counts", "[mesh]") {
+// ignoring the state of a restarted host because its sequence number is lower.
+TEST_CASE("the newest state that a host published counts", "[mesh]") {
   FleetTable fleet(1);
   HostState host;
   host.Peer = {"10.0.0.1", 7000};
@@ -148,7 +148,7 @@
   CHECK(fleet.find(host.Peer)->State.Server.Phase == ServerPhase::Ready);
 }
 
-// Guards against a host that is given up after it failed: it is contacted again
+// Guards against a failed host that is no longer contacted: it must be retried
 // at least every two seconds, so that its return is noticed.
 TEST_CASE("lost hosts are tried again", "[mesh]") {
   FleetTable fleet(1);
@@ -165,9 +165,10 @@
   CHECK(at(20'000) - last <= milliseconds(2100));
 }
 
-// Guards against a rollout whose time stands still for a driver that started
-// later: it kept the time of the last agreed step, and the deadline passed.
-TEST_CASE("a later driver goes on with the clock of the order", "[mesh]") {
+// Guards against a rollout that misses its deadline because a driver that
+// started later uses the elapsed time of the last agreed step without advancing
+// it.
+TEST_CASE("a later driver continues the elapsed time of the order", "[mesh]") {
   OrderClock clock;
   RolloutOrder order;
   order.Service = "s";
@@ -178,7 +179,8 @@
   clock.recordProgress(step, at(100'000));
   CHECK(clock.elapsed(order, at(100'000)) == milliseconds(5000));
   CHECK(clock.elapsed(order, at(104'000)) == milliseconds(9000));
-  // A time that was stated later and is shorter does not set it back.
+  // A later progress record with a shorter time does not reduce the elapsed
+  // time.
   step.Elapsed = milliseconds(6000);
   clock.recordProgress(step, at(104'000));
   CHECK(clock.elapsed(order, at(104'000)) == milliseconds(9000));
@@ -187,8 +189,8 @@
   CHECK(clock.elapsed(order, at(106'000)) == milliseconds(1000));
 }
 
-// Guards against a bad version that keeps its share, and against a good one
-// that is not finished within its time.
+// Guards against a bad version that keeps its share, and against a good version
+// that is not completed by the deadline.
 TEST_CASE("a rollout ends by its evidence", "[mesh]") {
   for (const bool bad : {false, true}) {
     RolloutDriver driver(shortRolloutSettings());
@@ -227,9 +229,9 @@
   }
 }
 
-// Guards against a good version that is taken back because one of its servers
-// fails, and against a bad one that stays because its servers are judged one by
-// one.
+// Guards against a good version that is rolled back because one of its servers
+// fails, and against a bad version that is kept because each server is assessed
+// only separately.
 TEST_CASE("one failing server is not a bad version", "[mesh]") {
   for (const bool bad : {false, true}) {
     RolloutDriver driver(shortRolloutSettings());
@@ -267,8 +269,8 @@
   }
 }
 
-// Guards against a bad version that is completed because its few requests went
-// to many servers, none of which showed enough by itself.
+// Guards against a bad version that is completed because its few requests were
+// spread over many servers, none of which had enough evidence on its own.
 TEST_CASE("failures on many servers count together", "[mesh]") {
   constexpr std::size_t servers = 24;
   RolloutDriver driver(shortRolloutSettings());
@@ -280,7 +282,7 @@
   std::array<KindCounts, servers> newCounts;
   double arrived = 0;
   std::uint64_t sent = 0;
-  // Answers are counted three ticks after a share was decided.
+  // A share takes effect in the counts three ticks after its decision.
   std::deque<std::uint32_t> shares(3, 0);
   RolloutAction end = RolloutAction::None;
   for (std::int64_t ms = 0; ms < 16'000 && end == RolloutAction::None;
@@ -289,7 +291,7 @@
     arrived += 100.0 * shares.front() / FullShare;
     shares.pop_front();
     for (; sent < static_cast<std::uint64_t>(arrived); ++sent) {
-      // Four servers get a half of the requests, and none that fails.
+      // Four servers receive half of the requests, and none of the failures.
       auto &counts = newCounts[sent % 2 == 0 ? sent / 2 % 4
                                              : 4 + sent / 2 % (servers - 4)];
       ++counts.Calls;
@@ -317,9 +319,9 @@
   CHECK(end == RolloutAction::RollBack);
 }
 
-// Guards against a part of a split route that gets another share than its
-// weight, over ten requests as over many.
-TEST_CASE("a split keeps to its weights", "[mesh]") {
+// Guards against a service of a split route whose share of the requests differs
+// from its weight, both in each run of ten requests and over many.
+TEST_CASE("a split follows its weights", "[mesh]") {
   ServiceSplit split;
   MeshRoute route;
   route.Name = "r";
