--- a/tests/unit/rollout_exposure_test.cpp
+++ b/tests/unit/rollout_exposure_test.cpp
@@ -32,9 +32,11 @@
               "slow later"};
 
 constexpr std::size_t RouteCount = 3;
-/** Pause between two decisions, and from one to its effect. */
+/** Interval between two decisions. */
 constexpr std::int64_t TickMs = 200;
+/** Time step of the simulation. */
 constexpr std::int64_t StepMs = 50;
+/** Delay from a decision to its effect on the traffic. */
 constexpr std::int64_t EffectMs = 250;
 
 struct Rollout {
@@ -42,12 +44,13 @@
   double Rate = 0;
   std::int64_t TimeMs = 0;
   std::int64_t TurnsBadMs = 0;
-  /** Part of the answers that fail once the version is bad. */
+  /** Fraction of the answers that fail once the version is bad. */
   double FailurePart = 0;
-  /** Change of the rate in the middle. */
+  /** Factor on the rate in the middle of the rollout. */
   double Burst = 1;
-  /** Requests that full servers of the old version refused come beside the rate
-   * that was answered as soon as nearly all go to the new one. */
+  /** Factor on the rate while the new version receives most requests: requests
+   * that overloaded servers of the old version refused arrive in addition to
+   * those that were answered. */
   double Backlog = 1;
   std::uint64_t Seed = 0;
 };
@@ -60,8 +63,9 @@
   double allowed() const { return 0.1 * Requests + 50; }
 };
 
-/** Plays one rollout: arrivals of one service, answers that are counted as they
- * end, decisions by counts that are as late as the answers to a poll. */
+/** Simulates one rollout of one service: requests arrive at random, answers are
+ * counted when they complete, and the driver decides on counts that are delayed
+ * like the answers to a poll. */
 class Simulation {
 public:
   explicit Simulation(const Rollout &rollout)
@@ -167,7 +171,7 @@
 
   void decide(std::int64_t ms) {
     const auto decision = Driver.tick(at(ms), View);
-    // The driver sees counts of the tick before.
+    // The driver sees the counts of the previous tick.
     View.OldCounts.assign(Old.begin(), Old.end());
     View.NewCounts.assign(New.begin(), New.end());
     View.NewByHost[{"10.0.0.1", 1}] = View.NewCounts;
@@ -218,31 +222,32 @@
 
 } // namespace
 
-// Guards against a bad version that gets more requests than it may, since it
-// turned bad late, under load or on one route: steps on a timetable gave it a
-// half or all of them before the test had seen enough.
+// Guards against a bad version that receives more requests than the exposure
+// limit because it turns bad late, under load or on one route. Share increases
+// on a fixed schedule send it half or all of the requests before the sequential
+// test has enough evidence.
 TEST_CASE("no bad version exceeds the bound of its exposure", "[rollout]") {
   constexpr std::uint64_t runsEach = 60;
   for (std::size_t kind = 1; kind < FlawNames.size(); ++kind) {
     std::size_t exceeded = 0;
-    std::size_t takenBack = 0;
+    std::size_t rolledBack = 0;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= runsEach; ++seed) {
       const auto result =
           Simulation(drawn(static_cast<Flaw>(kind), seed)).run();
       exceeded += result.Exposed > result.allowed() ? 1 : 0;
       worst = std::max(worst, result.Exposed / result.allowed());
-      takenBack += result.End == RolloutAction::RollBack ? 1 : 0;
+      rolledBack += result.End == RolloutAction::RollBack ? 1 : 0;
     }
     WARN(FlawNames[kind] << ": " << exceeded << " of " << runsEach
                          << " exceed the bound, the most at " << worst
-                         << " of it; taken back " << takenBack);
+                         << " of it; rolled back " << rolledBack);
     CHECK(exceeded == 0);
   }
 }
 
-// Guards against a good version that is not completed in time because its
-// exposure is bounded.
+// Guards against a good version that is not completed in time because of the
+// exposure limit.
 TEST_CASE("a good version is completed within the bound", "[rollout]") {
   constexpr std::uint64_t runs = 200;
   std::size_t completed = 0;
