--- a/src/mesh/operator_state.cpp
+++ b/src/mesh/operator_state.cpp
@@ -31,7 +31,8 @@
     return {};
   }
   if (it == Records.end() && Records.size() >= MaxKeys) {
-    return ignored(ErrorCode::TooLarge, "too many keys");
+    return ignored(ErrorCode::TooLarge,
+                   "maximum of " + std::to_string(MaxKeys) + " keys reached");
   }
   Records[record.Key] = record;
   return record.Value ? applyValue(record) : applyDeletion(record);
@@ -47,7 +48,9 @@
   if (auto *next = std::get_if<MeshConfiguration>(&*order)) {
     const auto current = Routes ? Routes->configuration().Version : 0;
     if (next->Version <= current) {
-      return ignored(ErrorCode::Conflict, "configuration is not newer");
+      return ignored(
+          ErrorCode::Conflict,
+          "configuration version is not higher than the current one");
     }
     Routes = std::make_shared<const RouteTable>(std::move(*next));
     change.Configuration = true;
