--- a/tests/unit/rollout_exposure_test.cpp
+++ b/tests/unit/rollout_exposure_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-enum class Flaw : std::uint8_t {
+enum class Defect : std::uint8_t {
   None,
   Fails,
   FailsLater,
@@ -22,14 +22,14 @@
   Count
 };
 
-constexpr std::array<const char *, static_cast<std::size_t>(Flaw::Count)>
-    FlawNames{"none",
-              "fails",
-              "fails later",
-              "fails under load",
-              "fails on one route",
-              "slow",
-              "slow later"};
+constexpr std::array<const char *, static_cast<std::size_t>(Defect::Count)>
+    DefectNames{"none",
+                "fails",
+                "fails later",
+                "fails under load",
+                "fails on one route",
+                "slow",
+                "slow later"};
 
 constexpr std::size_t RouteCount = 3;
 /** Interval between two decisions. */
@@ -37,21 +37,21 @@
 /** Time step of the simulation. */
 constexpr std::int64_t StepMs = 50;
 /** Delay from a decision to its effect on the traffic. */
-constexpr std::int64_t EffectMs = 250;
+constexpr std::int64_t EffectDelayMs = 250;
 
-struct Rollout {
-  Flaw Kind = Flaw::None;
+struct Scenario {
+  Defect Kind = Defect::None;
   double Rate = 0;
   std::int64_t TimeMs = 0;
   std::int64_t TurnsBadMs = 0;
   /** Fraction of the answers that fail once the version is bad. */
-  double FailurePart = 0;
+  double FailureFraction = 0;
   /** Factor on the rate in the middle of the rollout. */
-  double Burst = 1;
+  double BurstFactor = 1;
   /** Factor on the rate while the new version receives most requests: requests
    * that overloaded servers of the old version refused arrive in addition to
    * those that were answered. */
-  double Backlog = 1;
+  double BacklogFactor = 1;
   std::uint64_t Seed = 0;
 };
 
@@ -60,7 +60,7 @@
   double Exposed = 0;
   RolloutAction End = RolloutAction::None;
 
-  double allowed() const { return 0.1 * Requests + 50; }
+  double exposureLimit() const { return 0.1 * Requests + 50; }
 };
 
 /** Simulates one rollout of one service: requests arrive at random, answers are
@@ -68,18 +68,19 @@
  * like the answers to a poll. */
 class Simulation {
 public:
-  explicit Simulation(const Rollout &rollout)
-      : Plan(rollout), Random(rollout.Seed), Driver(shortRolloutSettings()) {
+  explicit Simulation(const Scenario &scenario)
+      : Parameters(scenario), Random(scenario.Seed),
+        Driver(shortRolloutSettings()) {
     View.OrderedAt = at(0);
-    View.TimeAllowed = milliseconds(rollout.TimeMs);
+    View.TimeAllowed = milliseconds(scenario.TimeMs);
     View.ReadyServers = 4;
   }
 
   Result run() {
-    for (std::int64_t ms = 0; ms < Plan.TimeMs; ms += StepMs) {
-      takeEffect(ms);
-      arrive(ms);
-      count(ms);
+    for (std::int64_t ms = 0; ms < Parameters.TimeMs; ms += StepMs) {
+      applyEffects(ms);
+      addArrivals(ms);
+      countAnswers(ms);
       if (ms % TickMs == 0 && Out.End == RolloutAction::None) {
         decide(ms);
       }
@@ -109,41 +110,43 @@
   }
 
   bool isBad(std::int64_t ms, std::size_t route) const {
-    switch (Plan.Kind) {
-    case Flaw::None:
+    switch (Parameters.Kind) {
+    case Defect::None:
       return false;
-    case Flaw::FailsLater:
-    case Flaw::SlowLater:
-      return ms >= Plan.TurnsBadMs;
-    case Flaw::FailsUnderLoad:
+    case Defect::FailsLater:
+    case Defect::SlowLater:
+      return ms >= Parameters.TurnsBadMs;
+    case Defect::FailsUnderLoad:
       return Share > FullShare / 5;
-    case Flaw::FailsOnOneRoute:
+    case Defect::FailsOnOneRoute:
       return route == RouteCount - 1;
     default:
       return true;
     }
   }
 
-  void takeEffect(std::int64_t ms) {
+  void applyEffects(std::int64_t ms) {
     while (!Effects.empty() && Effects.front().Ms <= ms) {
       Share = Effects.front().Share;
       Effects.pop_front();
     }
   }
 
-  void arrive(std::int64_t ms) {
-    const bool burst = ms > Plan.TimeMs / 3 && ms < Plan.TimeMs / 2;
-    const bool flood = Share > FullShare / 2;
-    const double mean = Plan.Rate * (burst ? Plan.Burst : 1) *
-                        (flood ? Plan.Backlog : 1) * StepMs / 1000.0;
+  void addArrivals(std::int64_t ms) {
+    const bool burst = ms > Parameters.TimeMs / 3 && ms < Parameters.TimeMs / 2;
+    const bool mostToNew = Share > FullShare / 2;
+    const double mean = Parameters.Rate * (burst ? Parameters.BurstFactor : 1) *
+                        (mostToNew ? Parameters.BacklogFactor : 1) * StepMs /
+                        1000.0;
     const int n = std::poisson_distribution<int>(mean)(Random);
     for (int i = 0; i < n; ++i) {
       Answer answer;
       answer.Route = static_cast<std::size_t>(uniform() * RouteCount);
       answer.New = uniform() * FullShare < Share;
       const bool bad = answer.New && isBad(ms, answer.Route);
-      const bool slow = Plan.Kind == Flaw::Slow || Plan.Kind == Flaw::SlowLater;
-      answer.Failed = bad && !slow && uniform() < Plan.FailurePart;
+      const bool slow = Parameters.Kind == Defect::Slow ||
+                        Parameters.Kind == Defect::SlowLater;
+      answer.Failed = bad && !slow && uniform() < Parameters.FailureFraction;
       answer.LatencyMs = (0.5 + uniform()) * 250 * (bad && slow ? 6 : 1);
       answer.Ms = ms + static_cast<std::int64_t>(answer.LatencyMs);
       Answers.push_back(answer);
@@ -152,7 +155,7 @@
     }
   }
 
-  void count(std::int64_t ms) {
+  void countAnswers(std::int64_t ms) {
     for (auto it = Answers.begin(); it != Answers.end();) {
       if (it->Ms > ms) {
         ++it;
@@ -178,10 +181,10 @@
     switch (decision.Action) {
     case RolloutAction::SetShare:
       View.ShareBasisPoints = decision.ShareBasisPoints;
-      Effects.push_back({ms + EffectMs, decision.ShareBasisPoints});
+      Effects.push_back({ms + EffectDelayMs, decision.ShareBasisPoints});
       return;
     case RolloutAction::RollBack:
-      Effects.push_back({ms + EffectMs, 0});
+      Effects.push_back({ms + EffectDelayMs, 0});
       break;
     default:
       break;
@@ -189,7 +192,7 @@
     Out.End = decision.Action;
   }
 
-  const Rollout Plan;
+  const Scenario Parameters;
   std::mt19937_64 Random;
   RolloutDriver Driver;
   RolloutView View;
@@ -201,21 +204,21 @@
   Result Out;
 };
 
-Rollout drawn(Flaw kind, std::uint64_t seed) {
+Scenario randomScenario(Defect kind, std::uint64_t seed) {
   constexpr std::array<double, 5> rates{15, 40, 120, 270, 900};
   constexpr std::array<std::int64_t, 4> times{10'000, 12'000, 16'000, 24'000};
   std::mt19937_64 random(seed);
   const auto pick = [&random](std::size_t n) {
     return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
   };
-  Rollout out;
+  Scenario out;
   out.Kind = kind;
   out.Rate = rates[pick(rates.size())];
   out.TimeMs = times[pick(times.size())];
   out.TurnsBadMs = static_cast<std::int64_t>(pick(100)) * out.TimeMs / 100;
-  out.FailurePart = 0.15 + 0.1 * static_cast<double>(pick(9));
-  out.Burst = 0.5 + 0.25 * static_cast<double>(pick(6));
-  out.Backlog = 1 + 0.1 * static_cast<double>(pick(5));
+  out.FailureFraction = 0.15 + 0.1 * static_cast<double>(pick(9));
+  out.BurstFactor = 0.5 + 0.25 * static_cast<double>(pick(6));
+  out.BacklogFactor = 1 + 0.1 * static_cast<double>(pick(5));
   out.Seed = seed;
   return out;
 }
@@ -228,20 +231,20 @@
 // test has enough evidence.
 TEST_CASE("no bad version exceeds the bound of its exposure", "[rollout]") {
   constexpr std::uint64_t runsEach = 60;
-  for (std::size_t kind = 1; kind < FlawNames.size(); ++kind) {
+  for (std::size_t kind = 1; kind < DefectNames.size(); ++kind) {
     std::size_t exceeded = 0;
     std::size_t rolledBack = 0;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= runsEach; ++seed) {
       const auto result =
-          Simulation(drawn(static_cast<Flaw>(kind), seed)).run();
-      exceeded += result.Exposed > result.allowed() ? 1 : 0;
-      worst = std::max(worst, result.Exposed / result.allowed());
+          Simulation(randomScenario(static_cast<Defect>(kind), seed)).run();
+      exceeded += result.Exposed > result.exposureLimit() ? 1 : 0;
+      worst = std::max(worst, result.Exposed / result.exposureLimit());
       rolledBack += result.End == RolloutAction::RollBack ? 1 : 0;
     }
-    WARN(FlawNames[kind] << ": " << exceeded << " of " << runsEach
-                         << " exceed the bound, the most at " << worst
-                         << " of it; rolled back " << rolledBack);
+    WARN(DefectNames[kind] << ": " << exceeded << " of " << runsEach
+                           << " exceed the bound, the most at " << worst
+                           << " of it; rolled back " << rolledBack);
     CHECK(exceeded == 0);
   }
 }
@@ -252,9 +255,9 @@
   constexpr std::uint64_t runs = 200;
   std::size_t completed = 0;
   for (std::uint64_t seed = 1; seed <= runs; ++seed) {
-    const auto result = Simulation(drawn(Flaw::None, seed)).run();
+    const auto result = Simulation(randomScenario(Defect::None, seed)).run();
     completed += result.End == RolloutAction::Complete ? 1 : 0;
-    CHECK(result.Exposed <= result.allowed());
+    CHECK(result.Exposed <= result.exposureLimit());
   }
   WARN("good versions completed: " << completed << " of " << runs);
   CHECK(completed >= runs * 95 / 100);
