--- a/include/chivefold/sidecar/sidecar_settings.h
+++ b/include/chivefold/sidecar/sidecar_settings.h
@@ -30,7 +30,7 @@
   std::string Service;
   std::string LogLevel = "info";
   /** Limits the requests sent to a new version before its rollout completes. */
-  ExposureTerms Exposure;
+  ExposureLimit Exposure;
   /** Maximum duration of a planned stop. */
   Duration GracePeriod = std::chrono::seconds(6);
   /** Path of the settings file; "" if there is none. */
--- a/src/mesh/operator_state.cpp
+++ b/src/mesh/operator_state.cpp
@@ -31,13 +31,14 @@
     return {};
   }
   if (it == Records.end() && Records.size() >= MaxKeys) {
-    return ignored(ErrorCode::TooLarge, "too many keys");
+    return ignored(ErrorCode::TooLarge,
+                   "maximum of " + std::to_string(MaxKeys) + " keys reached");
   }
   Records[record.Key] = record;
-  return record.Value ? take(record) : drop(record);
+  return record.Value ? applyValue(record) : applyDeletion(record);
 }
 
-OperatorChange OperatorState::take(const KeyedRecord &record) {
+OperatorChange OperatorState::applyValue(const KeyedRecord &record) {
   auto order = Codec.decode(record.Key, *record.Value);
   if (!order) {
     return ignored(order.reason().Code,
@@ -47,7 +48,9 @@
   if (auto *next = std::get_if<MeshConfiguration>(&*order)) {
     const auto current = Routes ? Routes->configuration().Version : 0;
     if (next->Version <= current) {
-      return ignored(ErrorCode::Conflict, "configuration is not newer");
+      return ignored(
+          ErrorCode::Conflict,
+          "configuration version is not higher than the current one");
     }
     Routes = std::make_shared<const RouteTable>(std::move(*next));
     change.Configuration = true;
@@ -61,7 +64,7 @@
   return change;
 }
 
-OperatorChange OperatorState::drop(const KeyedRecord &record) {
+OperatorChange OperatorState::applyDeletion(const KeyedRecord &record) {
   OperatorChange change;
   const auto order = Codec.decodeKey(record.Key);
   if (const auto *rollout = std::get_if<RolloutOrder>(&order)) {
@@ -86,10 +89,11 @@
                     [&](const auto &r) { return r.Key == known.Key; });
     if (!listed && known.Value && known.Offset < end) {
       known.Value.reset();
-      // It was dropped somewhere before the end; peers that know less ask for
-      // what lies behind their place.
+      // The offset of the deletion is not known. The highest possible one makes
+      // the deletion part of the answer to each peer that asks for the records
+      // after its own, lower offset.
       known.Offset = end - 1;
-      merge(change, drop(known));
+      merge(change, applyDeletion(known));
     }
   }
   advance(end);
--- a/src/mesh/placement.cpp
+++ b/src/mesh/placement.cpp
@@ -53,12 +53,12 @@
   ByService.clear();
   for (const auto &it : Fleet.hosts()) {
     const auto &server = it.second.State.Server;
-    if (!it.second.Heard || server.Service.empty()) {
+    if (!it.second.StateKnown || server.Service.empty()) {
       continue;
     }
     ByService[server.Service].push_back(it.first);
     if (server.Phase == ServerPhase::Ready) {
-      Versions.saw(server.Service, server.Version);
+      Versions.addReadyVersion(server.Service, server.Version);
     }
   }
   for (auto it = Loads.begin(); it != Loads.end();) {
--- a/src/sidecar/fleet_service.cpp
+++ b/src/sidecar/fleet_service.cpp
@@ -123,13 +123,13 @@
 void FleetService::probe() {
   Loop.schedule(Loop.now() + ProbeInterval, [this] { probe(); });
   const auto now = Loop.now();
-  Table.heard(Own, now);
-  auto due = Table.toProbe(now);
+  Table.recordContact(Own, now);
+  auto due = Table.selectProbeTargets(now);
   due.resize(std::min(due.size(), MaxProbes));
   for (const auto &it : due) {
     sendHello(it);
   }
-  const auto gone = Table.forget(now);
+  const auto gone = Table.removeExpired(now);
   for (const auto &it : gone) {
     Lines.info("removed a host that stayed unreachable",
                {{"host", toString(it)}});
@@ -158,7 +158,7 @@
   announcement.deaths.clear();
   for (const auto &it : Plan.targets()) {
     sendAnnouncement(it.Peer, announcement,
-                     it.Relays ? HelloRoute::ToRelay : HelloRoute::Direct);
+                     it.IsRelay ? HelloRoute::ToRelay : HelloRoute::Direct);
   }
 }
 
@@ -174,7 +174,7 @@
   }
   auto message = makeHello();
   if (AddressesDiffer && Loop.now() >= NextAddressRequestAt &&
-      Plan.isNear(peer)) {
+      Plan.isPreferredSource(peer)) {
     message.wants_addresses = true;
     NextAddressRequestAt = Loop.now() + AddressRequestInterval;
     AddressRequestInterval =
@@ -190,7 +190,7 @@
         }
         const auto *known = Table.find(peer);
         const bool lost = known != nullptr && known->reachable();
-        Table.failed(peer, Loop.now());
+        Table.recordFailure(peer, Loop.now());
         if (lost) {
           Lines.warn("host unreachable", {{"host", toString(peer)},
                                           {"reason", outcome.Failure.Message}});
@@ -293,7 +293,7 @@
 // forwarded it.
 void FleetService::relay(const HostState &state, const wire::HelloT &hello) {
   const auto *known = Table.find(state.Peer);
-  const bool isNews = known == nullptr || !known->Heard ||
+  const bool isNews = known == nullptr || !known->StateKnown ||
                       known->State.BootId != state.BootId ||
                       known->State.Sequence < state.Sequence;
   if (!isNews) {
@@ -307,12 +307,12 @@
 void FleetService::handleRelayedAnnouncement(const HostState &state) {
   const auto *known = Table.find(state.Peer);
   const bool isNew = known == nullptr || !known->reachable();
-  switch (Table.updateFromOther(state, Loop.now())) {
-  case Hearsay::News:
+  switch (Table.updateFromRelay(state, Loop.now())) {
+  case RelayedUpdateResult::Applied:
     return onHostChanged(state, isNew);
-  case Hearsay::Unsure:
+  case RelayedUpdateResult::OtherBoot:
     return sendHello(state.Peer);
-  case Hearsay::Old:
+  case RelayedUpdateResult::Stale:
     return;
   }
 }
--- a/src/sidecar/order_feed.cpp
+++ b/src/sidecar/order_feed.cpp
@@ -30,7 +30,7 @@
 void OrderFeed::checkReaderRole() {
   Loop.schedule(Loop.now() + ReaderCheckInterval,
                 [this] { checkReaderRole(); });
-  if (!Reading && (Parts.Readers.includesOwn() || mayBeStale())) {
+  if (!Reading && (Parts.Readers.includesSelf() || mayBeStale())) {
     poll();
   }
 }
@@ -88,7 +88,7 @@
     notifyPeers(1);
   }
   Reading = false;
-  if (Parts.Readers.includesOwn()) {
+  if (Parts.Readers.includesSelf()) {
     poll();
   }
 }
@@ -179,7 +179,7 @@
 }
 
 void OrderFeed::onNewerEndOffset(const Address &peer, std::uint64_t end) {
-  if (!Fetching && Parts.Plan.isNear(peer)) {
+  if (!Fetching && Parts.Plan.isPreferredSource(peer)) {
     return fetch(peer);
   }
   Sources.push_back({peer, end});
@@ -230,7 +230,8 @@
   wire::OrdersNoticeT notice;
   notice.from = addressToWire(Own);
   notice.end = State.end();
-  for (const auto &it : Parts.Plan.sample(NoticeFanout, perOtherDataCentre)) {
+  for (const auto &it :
+       Parts.Plan.sampleHosts(NoticeFanout, perOtherDataCentre)) {
     Parts.Network.send(it, frameBody(notice));
   }
 }
--- a/src/sidecar/rollout_service.cpp
+++ b/src/sidecar/rollout_service.cpp
@@ -89,7 +89,7 @@
   if (!Parts.Versions.apply(progress)) {
     return false;
   }
-  Clock.sawProgress(progress, Loop.now());
+  Clock.recordProgress(progress, Loop.now());
   Lines.info("rollout progress",
              {{"service", progress.Service},
               {"target", progress.TargetVersion},
@@ -102,7 +102,7 @@
 
 void RolloutService::ordersChanged() {
   for (const auto &it : Parts.Orders.rollouts()) {
-    Clock.sawOrder(it.second, Loop.now());
+    Clock.recordOrder(it.second, Loop.now());
   }
 }
 
@@ -234,7 +234,7 @@
   view.OrderedAt = Loop.now() - Clock.elapsed(order, Loop.now());
   view.TimeAllowed = order.TimeAllowed;
   view.ShareBasisPoints = progress.ShareBasisPoints;
-  view.AbleServers =
+  view.ReadyServers =
       Parts.Servers.countReadyServers(order.Service, order.TargetVersion);
   KindSums oldSums;
   KindSums newSums;
@@ -359,7 +359,7 @@
 
 wire::RolloutsT RolloutService::progressFrame() const {
   wire::RolloutsT out;
-  for (const auto &it : Parts.Versions.all()) {
+  for (const auto &it : Parts.Versions.allProgress()) {
     out.entries.push_back(toWire(it));
   }
   return out;
@@ -383,14 +383,14 @@
 }
 
 void RolloutService::onPeer(const Address &peer, std::uint64_t digest) {
-  if (digest != this->digest() && !Parts.Versions.all().empty()) {
+  if (digest != this->digest() && !Parts.Versions.allProgress().empty()) {
     Network.send(peer, frameBody(progressFrame()));
   }
 }
 
 std::uint64_t RolloutService::digest() const {
   std::uint64_t out = 0;
-  for (const auto &it : Parts.Versions.all()) {
+  for (const auto &it : Parts.Versions.allProgress()) {
     out ^= hash64(it.Service, it.Offset + 1);
   }
   return out;
