--- a/include/chivefold/core/control_state.h
+++ b/include/chivefold/core/control_state.h
@@ -88,7 +88,7 @@
  * the limits: dependencies, current and target versions, data centres, depth.
  * @return InvalidText with the first violation. Thread-safe.
  */
-Status checkClosure(const Configuration &config);
+Status validateConfiguration(const Configuration &config);
 
 /**
  * State machine over the log. Two instances that applied the same offsets have
@@ -179,34 +179,35 @@
     std::string ToVersion;
     LogOffset Offset = LogOffset::None;
   };
-  struct Place {
+  struct RecordContext {
     LogOffset Offset;
     const Record &Source;
     std::string_view Bytes;
   };
 
-  Verdict judge(const Place &at);
-  Verdict on(const Place &at, const ChangeRecord &r);
-  Verdict on(const Place &at, const ChangePartRecord &r);
-  Verdict on(const Place &at, const ChangeCommitRecord &r);
-  Verdict on(const Place &at, const LeaseTakeRecord &r);
-  Verdict on(const Place &at, const MoveStepRecord &r);
-  Verdict on(const Place &at, const MoveEndRecord &r);
-  Verdict on(const Place &at, const DataCentreRecord &r);
-  Verdict on(const Place &at, const AnnounceRecord &r);
-  Verdict on(const Place &at, const ClaimRecord &r);
-  Verdict on(const Place &at, const SnapshotPartRecord &r);
+  Verdict applyRecord(const RecordContext &context);
+  Verdict applyBody(const RecordContext &context, const ChangeRecord &r);
+  Verdict applyBody(const RecordContext &context, const ChangePartRecord &r);
+  Verdict applyBody(const RecordContext &context, const ChangeCommitRecord &r);
+  Verdict applyBody(const RecordContext &context, const LeaseTakeRecord &r);
+  Verdict applyBody(const RecordContext &context, const MoveStepRecord &r);
+  Verdict applyBody(const RecordContext &context, const MoveEndRecord &r);
+  Verdict applyBody(const RecordContext &context, const DataCentreRecord &r);
+  Verdict applyBody(const RecordContext &context, const AnnounceRecord &r);
+  Verdict applyBody(const RecordContext &context, const ClaimRecord &r);
+  Verdict applyBody(const RecordContext &context, const SnapshotPartRecord &r);
 
   Verdict lostRace() const;
-  Verdict change(const Place &at, const std::vector<Section> &sections);
+  Verdict applyChange(const RecordContext &context,
+                      const std::vector<Section> &sections);
   bool overridesStayValid(const Configuration &next) const;
-  void changeMoves(LogOffset at, const Configuration &next);
-  void changeMove(LogOffset at, const Service *before, const Service &after);
-  void changeDataCentres(LogOffset at, const Configuration &next);
+  void updateMoves(LogOffset at, const Configuration &next);
+  void updateMove(LogOffset at, const Service *before, const Service &after);
+  void updateDataCentres(LogOffset at, const Configuration &next);
   MoveState *runningMove(const std::string &service, Version move);
   void endMove(MoveState &move, LogOffset at, MoveResult result,
                const std::string &reason);
-  void boundMoves();
+  void evictOldestMoves();
   bool addPart(const RecordId &changeId, std::uint32_t index, PendingPart part);
   void dropPending(const RecordId &changeId);
   void setConfiguration(std::shared_ptr<const Configuration> next);
--- a/src/core/control_state.cpp
+++ b/src/core/control_state.cpp
@@ -45,7 +45,8 @@
   return h;
 }
 
-template <class Map> const auto *findIn(const Map &map, std::string_view key) {
+template <class Map>
+const auto *findOrNull(const Map &map, std::string_view key) {
   const auto it = map.find(key);
   return it == map.end() ? nullptr : &it->second;
 }
@@ -73,45 +74,48 @@
   if (Verdicts.find(record->Id)) {
     return VerdictKind::DuplicateId;
   }
-  auto verdict = judge({entry.Offset, *record, entry.Bytes});
+  auto verdict = applyRecord({entry.Offset, *record, entry.Bytes});
   verdict.Offset = entry.Offset;
   const auto kind = verdict.Kind;
   Verdicts.add(record->Id, std::move(verdict));
   return kind;
 }
 
-Verdict ControlState::judge(const Place &at) {
-  return std::visit([&](const auto &body) { return on(at, body); },
-                    at.Source.Body);
+Verdict ControlState::applyRecord(const RecordContext &context) {
+  return std::visit([&](const auto &body) { return applyBody(context, body); },
+                    context.Source.Body);
 }
 
-Verdict ControlState::on(const Place &at, const DataCentreRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const DataCentreRecord &r) {
   const auto &known = Config->FleetSettings.DataCentres;
   if (std::find(known.begin(), known.end(), r.DataCentre) == known.end()) {
     return Verdict(VerdictKind::Unknown);
   }
-  DataCentres[r.DataCentre] = {r.DataCentre, r.TakenOut, at.Offset};
+  DataCentres[r.DataCentre] = {r.DataCentre, r.TakenOut, context.Offset};
   return {};
 }
 
-Verdict ControlState::on(const Place &at, const AnnounceRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const AnnounceRecord &r) {
   const auto it =
       std::find_if(Announces.begin(), Announces.end(),
                    [&](const Announce &a) { return a.Peer == r.Peer; });
   if (it != Announces.end()) {
     Announces.erase(it);
   }
-  Announces.push_back({r.Peer, r.DataCentre, r.Region, at.Offset});
+  Announces.push_back({r.Peer, r.DataCentre, r.Region, context.Offset});
   if (Announces.size() > ControlStateLimits::MaxAnnounces) {
     Announces.pop_front();
   }
   return {};
 }
 
-Verdict ControlState::on(const Place &at, const ClaimRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ClaimRecord &r) {
   bool any = r.Keys.empty();
   for (const auto &it : r.Keys) {
-    any = Claims.add(it, at.Offset, r.Holder) || any;
+    any = Claims.add(it, context.Offset, r.Holder) || any;
   }
   if (any) {
     return {};
@@ -122,8 +126,8 @@
 }
 
 // Snapshot parts are read by starting daemons only; see SnapshotAssembler.
-Verdict ControlState::on(const Place & /*at*/,
-                         const SnapshotPartRecord & /*r*/) {
+Verdict ControlState::applyBody(const RecordContext & /*context*/,
+                                const SnapshotPartRecord & /*r*/) {
   return {};
 }
 
@@ -137,15 +141,15 @@
 }
 
 const MoveState *ControlState::move(std::string_view service) const {
-  return findIn(Moves, service);
+  return findOrNull(Moves, service);
 }
 
 const Lease *ControlState::lease(std::string_view service) const {
-  return findIn(Leases, service);
+  return findOrNull(Leases, service);
 }
 
 std::string ControlState::effectiveVersion(std::string_view service) const {
-  if (const auto *it = findIn(Overrides, service)) {
+  if (const auto *it = findOrNull(Overrides, service)) {
     return it->ToVersion;
   }
   const auto *s = Config->service(service);
@@ -154,11 +158,11 @@
 
 const DataCentreState *
 ControlState::dataCentre(std::string_view dataCentre) const {
-  return findIn(DataCentres, dataCentre);
+  return findOrNull(DataCentres, dataCentre);
 }
 
 bool ControlState::takenOut(std::string_view dataCentre) const {
-  const auto *it = findIn(DataCentres, dataCentre);
+  const auto *it = findOrNull(DataCentres, dataCentre);
   return it != nullptr && it->TakenOut;
 }
 
--- a/src/core/control_state_change.cpp
+++ b/src/core/control_state_change.cpp
@@ -20,17 +20,21 @@
           VersionWriter};
 }
 
-Verdict ControlState::on(const Place &at, const ChangeRecord &r) {
-  return r.Base == CurrentVersion ? change(at, r.Sections) : lostRace();
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangeRecord &r) {
+  return r.Base == CurrentVersion ? applyChange(context, r.Sections)
+                                  : lostRace();
 }
 
-Verdict ControlState::on(const Place &at, const ChangePartRecord &r) {
-  const bool added =
-      addPart(r.ChangeId, r.Index, {at.Offset, std::string(at.Bytes)});
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangePartRecord &r) {
+  const bool added = addPart(r.ChangeId, r.Index,
+                             {context.Offset, std::string(context.Bytes)});
   return Verdict(added ? VerdictKind::Incomplete : VerdictKind::DuplicateId);
 }
 
-Verdict ControlState::on(const Place &at, const ChangeCommitRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangeCommitRecord &r) {
   if (r.Base != CurrentVersion) {
     dropPending(r.ChangeId);
     return lostRace();
@@ -58,7 +62,7 @@
     return Verdict(VerdictKind::DigestMismatch);
   }
   dropPending(r.ChangeId);
-  return change(at, sections);
+  return applyChange(context, sections);
 }
 
 bool ControlState::addPart(const RecordId &changeId, std::uint32_t index,
@@ -98,19 +102,19 @@
   Pending.erase(it);
 }
 
-Verdict ControlState::change(const Place &at,
-                             const std::vector<Section> &sections) {
+Verdict ControlState::applyChange(const RecordContext &context,
+                                  const std::vector<Section> &sections) {
   auto next = std::make_shared<Configuration>(*Config);
   applySections(*next, sections);
-  if (!checkClosure(*next) || !overridesStayValid(*next)) {
+  if (!validateConfiguration(*next) || !overridesStayValid(*next)) {
     return Verdict(VerdictKind::BrokenReference);
   }
-  changeMoves(at.Offset, *next);
-  changeDataCentres(at.Offset, *next);
+  updateMoves(context.Offset, *next);
+  updateDataCentres(context.Offset, *next);
   setConfiguration(std::move(next));
-  CurrentVersion = at.Offset;
+  CurrentVersion = context.Offset;
   VersionWriter =
-      at.Source.Writer.substr(0, ControlStateLimits::MaxWriterBytes);
+      context.Source.Writer.substr(0, ControlStateLimits::MaxWriterBytes);
   return {};
 }
 
@@ -126,7 +130,7 @@
   });
 }
 
-void ControlState::changeMoves(LogOffset at, const Configuration &next) {
+void ControlState::updateMoves(LogOffset at, const Configuration &next) {
   for (const auto &it : Config->Services) {
     if (next.Services.count(it.first) != 0) {
       continue;
@@ -139,12 +143,12 @@
     }
   }
   for (const auto &it : next.Services) {
-    changeMove(at, Config->service(it.first), it.second);
+    updateMove(at, Config->service(it.first), it.second);
   }
-  boundMoves();
+  evictOldestMoves();
 }
 
-void ControlState::changeMove(LogOffset at, const Service *before,
+void ControlState::updateMove(LogOffset at, const Service *before,
                               const Service &after) {
   const bool requested = before != nullptr && before->Move == after.Move;
   const bool currentChanged =
@@ -174,7 +178,7 @@
   Moves[after.Name] = std::move(m);
 }
 
-void ControlState::boundMoves() {
+void ControlState::evictOldestMoves() {
   while (Moves.size() > ControlStateLimits::MaxMoves) {
     const auto oldest = std::min_element(
         Moves.begin(), Moves.end(), [](const auto &a, const auto &b) {
@@ -185,7 +189,7 @@
   }
 }
 
-void ControlState::changeDataCentres(LogOffset at, const Configuration &next) {
+void ControlState::updateDataCentres(LogOffset at, const Configuration &next) {
   const auto &before = Config->FleetSettings;
   const auto &after = next.FleetSettings;
   for (auto it = DataCentres.begin(); it != DataCentres.end();) {
--- a/src/core/control_state_closure.cpp
+++ b/src/core/control_state_closure.cpp
@@ -78,7 +78,7 @@
 
 } // namespace
 
-Status checkClosure(const Configuration &config) {
+Status validateConfiguration(const Configuration &config) {
   if (config.Services.size() > ConfigurationLimits::MaxServices) {
     return violation("too many services");
   }
--- a/src/core/control_state_move.cpp
+++ b/src/core/control_state_move.cpp
@@ -10,7 +10,8 @@
   return running ? &it->second : nullptr;
 }
 
-Verdict ControlState::on(const Place &at, const LeaseTakeRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const LeaseTakeRecord &r) {
   if (runningMove(r.Service, r.Move) == nullptr) {
     return Verdict(VerdictKind::Unknown);
   }
@@ -20,14 +21,16 @@
     return Verdict(VerdictKind::StaleEpoch);
   }
   if (it != Leases.end() && it->second.Holder == r.Holder) {
-    it->second.LastOffset = at.Offset;
+    it->second.LastOffset = context.Offset;
     return {};
   }
-  Leases[r.Service] = {r.Service, r.Move, r.Holder, at.Offset, at.Offset};
+  Leases[r.Service] = {r.Service, r.Move, r.Holder, context.Offset,
+                       context.Offset};
   return {};
 }
 
-Verdict ControlState::on(const Place &at, const MoveStepRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const MoveStepRecord &r) {
   auto *m = runningMove(r.Service, r.Move);
   if (m == nullptr ||
       r.ShareBasisPoints > ControlStateLimits::FullShareBasisPoints) {
@@ -37,13 +40,14 @@
   if (it == Leases.end() || it->second.LeaseEpoch != r.LeaseEpoch) {
     return Verdict(VerdictKind::StaleEpoch);
   }
-  it->second.LastOffset = at.Offset;
+  it->second.LastOffset = context.Offset;
   m->ShareBasisPoints = r.ShareBasisPoints;
-  m->StepOffset = at.Offset;
+  m->StepOffset = context.Offset;
   return {};
 }
 
-Verdict ControlState::on(const Place &at, const MoveEndRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const MoveEndRecord &r) {
   auto *m = runningMove(r.Service, r.Move);
   if (m == nullptr) {
     return Verdict(VerdictKind::Unknown);
@@ -53,9 +57,9 @@
     if (it == Leases.end() || it->second.LeaseEpoch != r.LeaseEpoch) {
       return Verdict(VerdictKind::StaleEpoch);
     }
-    Overrides[r.Service] = {m->ToVersion, at.Offset};
+    Overrides[r.Service] = {m->ToVersion, context.Offset};
   }
-  endMove(*m, at.Offset, r.Result, r.Reason);
+  endMove(*m, context.Offset, r.Result, r.Reason);
   m->Evidence = r.Evidence.substr(0, ControlStateLimits::MaxEvidenceBytes);
   return {};
 }
--- a/src/core/control_state_snapshot.cpp
+++ b/src/core/control_state_snapshot.cpp
@@ -72,18 +72,18 @@
   return m;
 }
 
-/** Numbers equal values, so that each is encoded once. */
-template <class Key> class Numbering {
+/** Indexes equal values, so that each is encoded once. */
+template <class Key> class Interner {
 public:
   /** @return the number of @p key and whether it is new. */
-  std::pair<std::uint32_t, bool> number(const Key &key) {
+  std::pair<std::uint32_t, bool> intern(const Key &key) {
     const auto it =
-        Numbers.emplace(key, static_cast<std::uint32_t>(Numbers.size()));
+        Indexes.emplace(key, static_cast<std::uint32_t>(Indexes.size()));
     return {it.first->second, it.second};
   }
 
 private:
-  std::map<Key, std::uint32_t> Numbers;
+  std::map<Key, std::uint32_t> Indexes;
 };
 
 std::uint64_t word(const RecordId &id, std::size_t at) {
@@ -161,9 +161,9 @@
 
 void ControlSnapshotCodec::putClaims(const ControlState &s,
                                      wire::ControlSnapshotT &w) {
-  Numbering<std::uint32_t> holders;
+  Interner<std::uint32_t> holders;
   for (const auto &it : s.Claims.entries()) {
-    const auto n = holders.number(it.Holder);
+    const auto n = holders.intern(it.Holder);
     if (n.second) {
       w.claim_holders.push_back(toWire(s.Claims.holder(it)));
     }
@@ -174,9 +174,9 @@
 
 void ControlSnapshotCodec::putVerdicts(const ControlState &s,
                                        wire::ControlSnapshotT &w) {
-  Numbering<std::string> writers;
+  Interner<std::string> writers;
   for (const auto &it : s.Verdicts.entries()) {
-    const auto n = writers.number(it.Value.WinnerWriter);
+    const auto n = writers.intern(it.Value.WinnerWriter);
     if (n.second) {
       w.verdict_writers.push_back(std::make_unique<wire::WriterNameT>());
       w.verdict_writers.back()->name = it.Value.WinnerWriter;
@@ -242,7 +242,7 @@
     }
     applySections(*config, change->Sections);
   }
-  if (!checkClosure(*config)) {
+  if (!validateConfiguration(*config)) {
     return false;
   }
   s.setConfiguration(std::move(config));
