--- a/include/chivefold/core/control_snapshot.h
+++ b/include/chivefold/core/control_snapshot.h
@@ -51,7 +51,7 @@
 };
 
 /** Place of a complete snapshot in the log. */
-struct SnapshotPlace {
+struct SnapshotLocation {
   LogOffset AsOf = LogOffset::None;
   /** Offset of the record that completed it. */
   LogOffset End = LogOffset::None;
@@ -74,9 +74,9 @@
    * log's @p tail, the offset of its next append. */
   bool add(const std::vector<LogEntry> &entries, LogOffset tail);
 
-  const SnapshotPlace &place() const { return Place; }
+  const SnapshotLocation &location() const { return Location; }
 
-  /** @return the state of the snapshot at place(), or LogTrimmed if there is
+  /** @return the state of the snapshot at location(), or LogTrimmed if there is
    * none. Call once. */
   Result<ControlState> take();
 
@@ -85,7 +85,7 @@
   LogOffset Next;
   SnapshotAssembler Assembler;
   std::optional<ControlState> Newest;
-  SnapshotPlace Place;
+  SnapshotLocation Location;
 };
 
 } // namespace chivefold
--- a/include/chivefold/core/snapshot_schedule.h
+++ b/include/chivefold/core/snapshot_schedule.h
@@ -31,7 +31,7 @@
   static constexpr Duration MaxAge = std::chrono::hours(1);
   /** Age at which a snapshot is renewed when the log expires records by time
    * while few are appended. */
-  static constexpr Duration QuietAge = std::chrono::minutes(1);
+  static constexpr Duration MinRenewalAge = std::chrono::minutes(1);
   /** A candidate starts this long after the one before it, and after the last
    * part that another writer appended. At the log's budget of 300 appends/s it
    * is 1,500 records. */
@@ -78,12 +78,12 @@
   /** @return whether a snapshot would be due, but the log must be scanned for
    * one first. */
   bool scanNeeded(LogOffset applied, TimePoint now) const {
-    return Skipped && cause(applied, now);
+    return Skipped && dueCause(applied, now);
   }
 
   /** The retained log was scanned. @param newest the newest complete snapshot
    * in it; its AsOf is None if there is none. */
-  void scanned(const SnapshotPlace &newest, TimePoint now);
+  void scanned(const SnapshotLocation &newest, TimePoint now);
 
   /** The log was read. @param first oldest retained offset. @param next offset
    * of the next append. */
@@ -104,7 +104,7 @@
 
   /** @return the newest complete snapshot that was seen; its AsOf is None if
    * there was none. */
-  const SnapshotPlace &newest() const { return Newest; }
+  const SnapshotLocation &newest() const { return Newest; }
 
 private:
   /** Indexes seen of a snapshot without all parts. */
@@ -113,11 +113,11 @@
     std::set<std::uint32_t> Seen;
   };
 
-  void found(const SnapshotPlace &place, TimePoint now);
-  std::optional<SnapshotCause> cause(LogOffset applied, TimePoint now) const;
+  void setNewest(const SnapshotLocation &location, TimePoint now);
+  std::optional<SnapshotCause> dueCause(LogOffset applied, TimePoint now) const;
   bool retentionUsed(TimePoint now) const;
 
-  SnapshotPlace Newest;
+  SnapshotLocation Newest;
   std::optional<TimePoint> NewestAt;
   LogOffset FirstAtNewest = LogOffset::None;
   /** At most SnapshotLimits::MaxAssembled, the oldest is dropped. */
--- a/src/core/control_snapshot.cpp
+++ b/src/core/control_snapshot.cpp
@@ -66,12 +66,12 @@
         record ? std::get_if<SnapshotPartRecord>(&record->Body) : nullptr;
     // A snapshot from before the retained records leaves a gap.
     if (part == nullptr || raw(part->AsOf) + 1 < raw(First) ||
-        part->AsOf <= Place.AsOf) {
+        part->AsOf <= Location.AsOf) {
       continue;
     }
     if (auto state = Assembler.add(*part)) {
       Newest = std::move(state);
-      Place = {part->AsOf, it.Offset, part->PartCount};
+      Location = {part->AsOf, it.Offset, part->PartCount};
     }
   }
   return !entries.empty() && Next < tail;
--- a/src/core/snapshot_schedule.cpp
+++ b/src/core/snapshot_schedule.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Separates this order from that of the readers within a data centre. */
-constexpr std::uint64_t WriterSeed = 0x736e617073686f74;
+constexpr std::uint64_t SnapshotRankSeed = 0x736e617073686f74;
 
 } // namespace
 
@@ -29,17 +29,17 @@
   for (const auto &it : members.members()) {
     dataCentres.insert(it.DataCentre);
   }
-  const auto weigh = [](const Address &a) {
-    return std::make_tuple(hash64(toString(a), WriterSeed), a);
+  const auto rankKey = [](const Address &a) {
+    return std::make_tuple(hash64(toString(a), SnapshotRankSeed), a);
   };
-  const auto own = weigh(members.self().Peer);
+  const auto own = rankKey(members.self().Peer);
   SnapshotRank result;
   std::size_t before = 0;
   bool candidate = false;
   for (const auto &dataCentre : dataCentres) {
     for (const auto &it : members.readers(dataCentre)) {
       ++result.Candidates;
-      before += weigh(it) < own ? 1 : 0;
+      before += rankKey(it) < own ? 1 : 0;
       candidate = candidate || it == members.self().Peer;
     }
   }
@@ -71,20 +71,21 @@
   PartSeenAt = now;
   if (it->Seen.size() == part->PartCount) {
     Partials.erase(it);
-    found({part->AsOf, entry.Offset, part->PartCount}, now);
+    setNewest({part->AsOf, entry.Offset, part->PartCount}, now);
   }
 }
 
-void SnapshotSchedule::scanned(const SnapshotPlace &newest, TimePoint now) {
+void SnapshotSchedule::scanned(const SnapshotLocation &newest, TimePoint now) {
   Skipped = false;
-  found(newest, now);
+  setNewest(newest, now);
 }
 
-void SnapshotSchedule::found(const SnapshotPlace &place, TimePoint now) {
-  if (place.AsOf <= Newest.AsOf) {
+void SnapshotSchedule::setNewest(const SnapshotLocation &location,
+                                 TimePoint now) {
+  if (location.AsOf <= Newest.AsOf) {
     return;
   }
-  Newest = place;
+  Newest = location;
   NewestAt = now;
   FirstAtNewest = First;
   Skipped = false;
@@ -117,11 +118,11 @@
       std::max<std::uint64_t>(SnapshotScheduleLimits::MinRecords, Newest.Parts);
   return tail >= raw(Newest.End) + least ||
          (First > FirstAtNewest && raw(First) > 1 &&
-          now - *NewestAt >= SnapshotScheduleLimits::QuietAge);
+          now - *NewestAt >= SnapshotScheduleLimits::MinRenewalAge);
 }
 
-std::optional<SnapshotCause> SnapshotSchedule::cause(LogOffset applied,
-                                                     TimePoint now) const {
+std::optional<SnapshotCause> SnapshotSchedule::dueCause(LogOffset applied,
+                                                        TimePoint now) const {
   // A snapshot from before the retained records would leave a gap.
   if (First == LogOffset::None || applied <= Newest.AsOf ||
       raw(applied) + 1 < raw(First)) {
@@ -143,9 +144,9 @@
 SnapshotSchedule::due(LogOffset applied,
                       const std::function<SnapshotRank()> &rank,
                       TimePoint now) {
-  const auto why = cause(applied, now);
-  const auto place = why && !Skipped ? rank() : SnapshotRank();
-  if (!place.Rank) {
+  const auto why = dueCause(applied, now);
+  const auto position = why && !Skipped ? rank() : SnapshotRank();
+  if (!position.Rank) {
     DueSince.reset();
     return std::nullopt;
   }
@@ -153,13 +154,13 @@
     DueSince = now;
   }
   auto from = *DueSince;
-  auto turns = *place.Rank;
+  auto delays = *position.Rank;
   if (PartSeenAt) {
     // Another writer is at work, or died half way.
     from = std::max(from, *PartSeenAt);
-    turns = std::max<std::size_t>(turns, 1);
+    delays = std::max<std::size_t>(delays, 1);
   }
-  from += turns * SnapshotScheduleLimits::TakeoverDelay;
+  from += delays * SnapshotScheduleLimits::TakeoverDelay;
   if (now < from || (NotBefore && now < *NotBefore)) {
     return std::nullopt;
   }
--- a/src/daemon/snapshot_service.cpp
+++ b/src/daemon/snapshot_service.cpp
@@ -128,10 +128,10 @@
 }
 
 void SnapshotService::endScan() {
-  const auto place = Scan->place();
+  const auto location = Scan->location();
   auto state = Scan->take();
   Scan.reset();
-  Schedule.scanned(place, Loop.now());
+  Schedule.scanned(location, Loop.now());
   if (state && state->applied() <= Parts.State.applied()) {
     return;
   }
@@ -145,7 +145,7 @@
     return;
   }
   Lines.info("state installed from the log",
-             {{"as_of", raw(place.AsOf)}, {"parts", place.Parts}});
+             {{"as_of", raw(location.AsOf)}, {"parts", location.Parts}});
   OnInstalled();
 }
 
--- a/tests/unit/snapshot_schedule_test.cpp
+++ b/tests/unit/snapshot_schedule_test.cpp
@@ -128,7 +128,7 @@
   // Expiry by time, without new records.
   c.Schedule.logRead(LogOffset{21}, LogOffset{22}, Start + Second);
   CHECK_FALSE(c.due(Start + Second));
-  CHECK(c.due(Start + Limits::QuietAge));
+  CHECK(c.due(Start + Limits::MinRenewalAge));
 }
 
 // Guards against a writer that dies half way and is not replaced, and against
