--- a/include/chivefold/core/move_controller.h
+++ b/include/chivefold/core/move_controller.h
@@ -25,7 +25,7 @@
   /** Rising shares in basis points; the last is 10,000. */
   std::vector<std::uint32_t> Steps = {500, 1000, 2500, 5000, 10000};
   /** Part of the time of a step after which evidence is enough to go on. */
-  double EvidenceDwell = 0.6;
+  double EvidenceDwellFraction = 0.6;
   /** With evidence a step lasts no longer than this. */
   Duration MaxEvidenceDwell = std::chrono::minutes(10);
   /** Calls at the present share without which there is no evidence. */
@@ -35,16 +35,16 @@
   double MaxSuspicion = 0.35;
   double MaxForcedSuspicion = 0.6;
   /** Part of the move's time that is spent watching at the last share. */
-  double WatchPart = 0.2;
+  double ObservationFraction = 0.2;
   /** The watch lasts no longer than this. */
-  Duration MaxWatch = std::chrono::minutes(30);
-  /** Parts of the move's time that a share, or the watch, lasts at least, even
-   * if the deadline is then missed. */
-  double MinDwellPart = 0.02;
-  double MinWatchPart = 0.05;
+  Duration MaxObservation = std::chrono::minutes(30);
+  /** Parts of the move's time that a share, or the observation, lasts at least,
+   * even if the deadline is then missed. */
+  double MinDwellFraction = 0.02;
+  double MinObservationFraction = 0.05;
   /** Part of the time left that is kept free before the deadline, between
    * MinReserve and MaxReserve, for the append of "done" to reach all. */
-  double ReservePart = 0.05;
+  double ReserveFraction = 0.05;
   Duration MinReserve = std::chrono::seconds(2);
   Duration MaxReserve = std::chrono::seconds(30);
   /** A candidate takes over after this time without a record of the holder. */
@@ -154,22 +154,22 @@
   const std::string &holdReason() const { return HoldReason; }
 
 private:
-  enum class Kind : std::uint8_t { Take, Renew, Step, TakeBack, End };
-  static constexpr std::size_t KindCount = 5;
+  enum class ActionKind : std::uint8_t { Take, Renew, Step, TakeBack, End };
+  static constexpr std::size_t ActionKindCount = 5;
 
-  void observe(TimePoint now, UtcTime utcNow, const MoveView &view);
-  void planStep(TimePoint now, UtcTime utcNow, const MoveView &view);
+  void updateFromView(TimePoint now, UtcTime utcNow, const MoveView &view);
+  void scheduleNextStep(TimePoint now, UtcTime utcNow, const MoveView &view);
   std::string reasonToTakeBack(TimePoint now, UtcTime utcNow,
                                const MoveView &view);
   void takeBack(TimePoint now, const MoveView &view,
                 std::vector<MoveAction> &actions);
-  void seekLease(TimePoint now, const MoveView &view,
-                 std::vector<MoveAction> &actions);
-  void drive(TimePoint now, const MoveView &view,
-             std::vector<MoveAction> &actions);
+  void tryTakeLease(TimePoint now, const MoveView &view,
+                    std::vector<MoveAction> &actions);
+  void advance(TimePoint now, const MoveView &view,
+               std::vector<MoveAction> &actions);
   std::string reasonToHold(TimePoint now, const MoveView &view) const;
-  bool allowed(Kind kind, TimePoint now);
-  std::size_t stepsAfter(std::uint32_t share) const;
+  bool tryEmit(ActionKind kind, TimePoint now);
+  std::size_t remainingSteps(std::uint32_t share) const;
   bool isFresh(TimePoint now, const std::optional<TimePoint> &time) const;
 
   MoveSettings Settings;
@@ -187,7 +187,7 @@
   TimePoint EvidenceTime{};
   TimePoint ForcedTime{};
   /** Last emission of each kind of action. */
-  std::array<std::optional<TimePoint>, KindCount> Emitted{};
+  std::array<std::optional<TimePoint>, ActionKindCount> Emitted{};
   std::string EndReason;
   std::string EndEvidence;
   std::string HoldReason;
--- a/src/core/move_controller.cpp
+++ b/src/core/move_controller.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Duration part(Duration time, double factor) {
+Duration scale(Duration time, double factor) {
   return Duration(
       static_cast<Duration::rep>(static_cast<double>(time.count()) * factor));
 }
@@ -27,7 +27,7 @@
   if (view.Ended) {
     return actions;
   }
-  observe(now, utcNow, view);
+  updateFromView(now, utcNow, view);
   if (EndReason.empty()) {
     EndReason = reasonToTakeBack(now, utcNow, view);
     EndEvidence = EndReason.empty() ? "" : Test.assess().Evidence;
@@ -35,15 +35,15 @@
   if (!EndReason.empty()) {
     takeBack(now, view, actions);
   } else if (view.HeldByThisDaemon) {
-    drive(now, view, actions);
+    advance(now, view, actions);
   } else {
-    seekLease(now, view, actions);
+    tryTakeLease(now, view, actions);
   }
   return actions;
 }
 
-void MoveController::observe(TimePoint now, UtcTime utcNow,
-                             const MoveView &view) {
+void MoveController::updateFromView(TimePoint now, UtcTime utcNow,
+                                    const MoveView &view) {
   const bool first = !FirstTick;
   if (first) {
     FirstTick = now;
@@ -57,8 +57,8 @@
     }
     SeenShare = view.ShareBasisPoints;
     SeenEpoch = view.CurrentEpoch;
-    Emitted[static_cast<std::size_t>(Kind::Step)].reset();
-    planStep(now, utcNow, view);
+    Emitted[static_cast<std::size_t>(ActionKind::Step)].reset();
+    scheduleNextStep(now, utcNow, view);
   }
   if (!view.LogAvailable || !isFresh(now, view.LogRead)) {
     LogFreshSince.reset();
@@ -72,29 +72,31 @@
   }
 }
 
-void MoveController::planStep(TimePoint now, UtcTime utcNow,
-                              const MoveView &view) {
+void MoveController::scheduleNextStep(TimePoint now, UtcTime utcNow,
+                                      const MoveView &view) {
   const auto left =
       std::max(Duration::zero(), Duration(view.Deadline - utcNow));
-  const auto reserve = std::clamp(part(left, Settings.ReservePart),
+  const auto reserve = std::clamp(scale(left, Settings.ReserveFraction),
                                   Settings.MinReserve, Settings.MaxReserve);
   const auto usable = std::max(Duration::zero(), left - reserve);
-  const auto steps = static_cast<Duration::rep>(stepsAfter(SeenShare));
-  const auto watch = std::min({part(TotalTime, Settings.WatchPart),
-                               Settings.MaxWatch, usable / (steps + 1)});
+  const auto steps = static_cast<Duration::rep>(remainingSteps(SeenShare));
+  const auto observation =
+      std::min({scale(TotalTime, Settings.ObservationFraction),
+                Settings.MaxObservation, usable / (steps + 1)});
   if (SeenShare == 0) {
     EvidenceTime = ForcedTime = now;
   } else if (steps == 0) {
-    const auto least = part(TotalTime, Settings.MinWatchPart);
-    EvidenceTime = now + std::max(least, watch);
+    const auto least = scale(TotalTime, Settings.MinObservationFraction);
+    EvidenceTime = now + std::max(least, observation);
     ForcedTime = now + std::max(least, usable);
   } else {
-    const auto least = part(TotalTime, Settings.MinDwellPart);
-    const auto slot = std::max(least, (usable - watch) / steps);
+    const auto least = scale(TotalTime, Settings.MinDwellFraction);
+    const auto slot = std::max(least, (usable - observation) / steps);
     ForcedTime = now + slot;
     EvidenceTime =
-        now + std::max(least, std::min(part(slot, Settings.EvidenceDwell),
-                                       Settings.MaxEvidenceDwell));
+        now +
+        std::max(least, std::min(scale(slot, Settings.EvidenceDwellFraction),
+                                 Settings.MaxEvidenceDwell));
   }
 }
 
@@ -121,7 +123,7 @@
     TakenBackSince = now;
   }
   HoldReason = EndReason;
-  if (!view.TakenBack && allowed(Kind::TakeBack, now)) {
+  if (!view.TakenBack && tryEmit(ActionKind::TakeBack, now)) {
     actions.emplace_back(TakeBackNow{EndReason, EndEvidence});
   }
   // The record counts from any daemon; the others wait for the holder, so that
@@ -130,14 +132,14 @@
                         ? Duration::zero()
                         : Settings.RankDelay * (view.Rank + 1);
   if (view.LogAvailable && now - *TakenBackSince >= wait &&
-      allowed(Kind::End, now)) {
+      tryEmit(ActionKind::End, now)) {
     actions.emplace_back(AppendEnd{view.CurrentEpoch, MoveResult::TakenBack,
                                    EndReason, EndEvidence});
   }
 }
 
-void MoveController::seekLease(TimePoint now, const MoveView &view,
-                               std::vector<MoveAction> &actions) {
+void MoveController::tryTakeLease(TimePoint now, const MoveView &view,
+                                  std::vector<MoveAction> &actions) {
   HoldReason = "another daemon drives the move";
   if (!LogFreshSince) {
     HoldReason = "the log cannot be read";
@@ -151,29 +153,29 @@
     since = std::max(since, view.HolderSeen.value_or(since));
     wait += Settings.LeaseTimeout;
   }
-  if (now - since >= wait && allowed(Kind::Take, now)) {
+  if (now - since >= wait && tryEmit(ActionKind::Take, now)) {
     actions.emplace_back(TakeLease{view.CurrentEpoch});
   }
 }
 
-void MoveController::drive(TimePoint now, const MoveView &view,
-                           std::vector<MoveAction> &actions) {
+void MoveController::advance(TimePoint now, const MoveView &view,
+                             std::vector<MoveAction> &actions) {
   if (view.LogAvailable &&
       (!view.HolderSeen || now - *view.HolderSeen >= Settings.RenewInterval) &&
-      allowed(Kind::Renew, now)) {
+      tryEmit(ActionKind::Renew, now)) {
     actions.emplace_back(RenewLease{view.CurrentEpoch});
   }
   HoldReason = reasonToHold(now, view);
   if (!HoldReason.empty()) {
     return;
   }
-  if (stepsAfter(view.ShareBasisPoints) == 0) {
-    if (allowed(Kind::End, now)) {
+  if (remainingSteps(view.ShareBasisPoints) == 0) {
+    if (tryEmit(ActionKind::End, now)) {
       actions.emplace_back(AppendEnd{view.CurrentEpoch, MoveResult::Done,
                                      "watched at the full share",
                                      Test.assess().Evidence});
     }
-  } else if (allowed(Kind::Step, now)) {
+  } else if (tryEmit(ActionKind::Step, now)) {
     actions.emplace_back(AppendStep{view.CurrentEpoch,
                                     *std::upper_bound(Settings.Steps.begin(),
                                                       Settings.Steps.end(),
@@ -213,7 +215,7 @@
   return {};
 }
 
-bool MoveController::allowed(Kind kind, TimePoint now) {
+bool MoveController::tryEmit(ActionKind kind, TimePoint now) {
   auto &last = Emitted[static_cast<std::size_t>(kind)];
   if (last && now - *last < Settings.RetryInterval) {
     return false;
@@ -222,7 +224,7 @@
   return true;
 }
 
-std::size_t MoveController::stepsAfter(std::uint32_t share) const {
+std::size_t MoveController::remainingSteps(std::uint32_t share) const {
   return static_cast<std::size_t>(
       Settings.Steps.end() -
       std::upper_bound(Settings.Steps.begin(), Settings.Steps.end(), share));
