--- a/include/chivefold/core/sequential_test.h
+++ b/include/chivefold/core/sequential_test.h
@@ -163,7 +163,7 @@
 
   SequentialTestSettings Settings;
   std::map<SeriesKey, Series> Routes;
-  Series All;
+  Series AllRoutes;
   double NewCallsSinceRestart = 0;
 };
 
--- a/src/core/sequential_test.cpp
+++ b/src/core/sequential_test.cpp
@@ -28,7 +28,7 @@
 constexpr std::array<const char *, 4> MeasureNames = {"errors", "errors",
                                                       "refusals", "latency"};
 
-bool shrank(const KindCounts &seen, const KindCounts &counts) {
+bool countersReset(const KindCounts &seen, const KindCounts &counts) {
   return counts.Calls < seen.Calls || counts.Errors < seen.Errors ||
          counts.Refusals < seen.Refusals ||
          counts.LatencySumUs < seen.LatencySumUs;
@@ -83,13 +83,13 @@
 
 SequentialTest::SequentialTest(const SequentialTestSettings &settings)
     : Settings(settings) {
-  All.Label = "all routes";
+  AllRoutes.Label = "all routes";
 }
 
 SequentialTest::Window SequentialTest::takeGrowth(KindCounts &seen,
                                                   const KindCounts &counts) {
   Window growth;
-  if (!shrank(seen, counts)) {
+  if (!countersReset(seen, counts)) {
     growth.Calls = static_cast<double>(counts.Calls - seen.Calls);
     growth.Errors = std::min(growth.Calls,
                              static_cast<double>(counts.Errors - seen.Errors));
@@ -141,7 +141,7 @@
     oldAll.add(growth.Old, HUGE_VAL);
     newAll.add(growth.New, HUGE_VAL);
   }
-  updateSeries(All, oldAll, newAll);
+  updateSeries(AllRoutes, oldAll, newAll);
   NewCallsSinceRestart += newAll.Calls + newAll.Refusals;
 }
 
@@ -224,19 +224,19 @@
 
 void SequentialTest::restart() {
   NewCallsSinceRestart = 0;
-  const auto keepOnlyAgainst = [](Series &series) {
+  const auto dropFavourable = [](Series &series) {
     for (auto &it : series.Evidence) {
       it = std::max(it, 0.0);
     }
   };
-  keepOnlyAgainst(All);
+  dropFavourable(AllRoutes);
   for (auto &it : Routes) {
-    keepOnlyAgainst(it.second);
+    dropFavourable(it.second);
   }
 }
 
 Assessment SequentialTest::assess() const {
-  const Series *worst = &All;
+  const Series *worst = &AllRoutes;
   Measure measure = Errors;
   const auto consider = [&](const Series &series) {
     for (const auto it : {Errors, GrossErrors, Refusals, Latency}) {
@@ -246,7 +246,7 @@
       }
     }
   };
-  consider(All);
+  consider(AllRoutes);
   for (const auto &it : Routes) {
     consider(it.second);
   }
@@ -256,8 +256,8 @@
   const double low = lowerBound() * 0.999; // Not subject to rounding.
   if (out.Suspicion >= 1) {
     out.Result = TestVerdict::Bad;
-  } else if (All.Evidence[Errors] <= low && All.Evidence[Latency] <= low &&
-             out.Suspicion < 0.5) {
+  } else if (AllRoutes.Evidence[Errors] <= low &&
+             AllRoutes.Evidence[Latency] <= low && out.Suspicion < 0.5) {
     out.Result = TestVerdict::Good;
   }
   return out;
