--- a/src/core/change.cpp
+++ b/src/core/change.cpp
@@ -17,18 +17,18 @@
   };
   // Doubling, then bisection, so that a part costs few encodings.
   const auto rest = sections.size() - first;
-  std::size_t good = 0;
-  std::size_t bad = 1;
-  while (bad <= rest && fits(bad)) {
-    good = bad;
-    bad *= 2;
+  std::size_t fitting = 0;
+  std::size_t tooMany = 1;
+  while (tooMany <= rest && fits(tooMany)) {
+    fitting = tooMany;
+    tooMany *= 2;
   }
-  bad = std::min(bad, rest + 1);
-  while (bad - good > 1) {
-    const auto n = good + (bad - good) / 2;
-    (fits(n) ? good : bad) = n;
+  tooMany = std::min(tooMany, rest + 1);
+  while (tooMany - fitting > 1) {
+    const auto n = fitting + (tooMany - fitting) / 2;
+    (fits(n) ? fitting : tooMany) = n;
   }
-  return good;
+  return fitting;
 }
 
 } // namespace
@@ -41,11 +41,11 @@
                                        std::vector<Section> sections,
                                        const std::function<RecordId()> &newId,
                                        const std::string &writer) {
-  Record whole{newId(), writer, ChangeRecord{base, sections}};
-  if (encodeRecord(whole).size() <= MaxRecordBytes) {
-    return std::vector<Record>{std::move(whole)};
+  Record single{newId(), writer, ChangeRecord{base, sections}};
+  if (encodeRecord(single).size() <= MaxRecordBytes) {
+    return std::vector<Record>{std::move(single)};
   }
-  const auto changeId = whole.Id;
+  const auto changeId = single.Id;
   std::vector<Record> records;
   auto digest = InitialChangeDigest;
   for (std::size_t first = 0; first < sections.size();) {
--- a/src/core/record_wire.cpp
+++ b/src/core/record_wire.cpp
@@ -8,30 +8,30 @@
 
 using Strings = flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>;
 
-std::size_t bytes(const flatbuffers::String *s) {
+std::size_t minBytes(const flatbuffers::String *s) {
   return s == nullptr ? 0 : ReferenceBytes + s->size();
 }
 
-std::size_t bytes(const Strings *list) {
+std::size_t minBytes(const Strings *list) {
   std::size_t n = 0;
   for (flatbuffers::uoffset_t i = 0; list != nullptr && i < list->size(); ++i) {
-    n += bytes(list->Get(i));
+    n += minBytes(list->Get(i));
   }
   return n;
 }
 
-std::size_t bytes(const wire::Service *s) {
+std::size_t minBytes(const wire::Service *s) {
   if (s == nullptr) {
     return 0;
   }
-  auto n = ReferenceBytes + bytes(s->name()) + bytes(s->depends_on()) +
-           bytes(s->versions()) + bytes(s->current_version());
+  auto n = ReferenceBytes + minBytes(s->name()) + minBytes(s->depends_on()) +
+           minBytes(s->versions()) + minBytes(s->current_version());
   const auto *routes = s->routes();
   for (flatbuffers::uoffset_t i = 0; routes != nullptr && i < routes->size();
        ++i) {
     const auto *r = routes->Get(i);
-    n += ReferenceBytes + bytes(r->method()) + bytes(r->path_prefix()) +
-         bytes(r->kind());
+    n += ReferenceBytes + minBytes(r->method()) + minBytes(r->path_prefix()) +
+         minBytes(r->kind());
   }
   return n;
 }
@@ -45,9 +45,11 @@
        sections != nullptr && i < sections->size() && n <= MaxRecordBytes;
        ++i) {
     const auto *s = sections->Get(i);
-    n += ReferenceBytes + bytes(s->service()) + bytes(s->removed_service());
+    n += ReferenceBytes + minBytes(s->service()) +
+         minBytes(s->removed_service());
     if (s->fleet() != nullptr) {
-      n += bytes(s->fleet()->data_centres()) + bytes(s->fleet()->taken_out());
+      n += minBytes(s->fleet()->data_centres()) +
+           minBytes(s->fleet()->taken_out());
     }
   }
   return n;
