--- a/include/chivefold/core/control_snapshot.h
+++ b/include/chivefold/core/control_snapshot.h
@@ -17,29 +17,32 @@
 
 namespace chivefold {
 
-/** Bounds of snapshots. */
+/** Limits on the size and number of snapshots in the log. */
 struct SnapshotLimits {
-  /** Leaves room for the other fields within MaxRecordBytes. */
+  /** Largest payload of one part; leaves room for the other fields of the
+   * record within MaxRecordBytes. */
   static constexpr std::size_t PartBytes = MaxRecordBytes - 1024;
   static constexpr std::uint32_t MaxParts = 512;
-  /** Snapshots assembled at a time; the oldest is dropped on overflow. */
+  /** Incomplete snapshots that are assembled at a time; when another one
+   * begins, the oldest is dropped. */
   static constexpr std::size_t MaxAssembled = 4;
 };
 
 /**
- * Splits the snapshot of @p state into parts that fit a record each.
- * @return the parts in index order, or TooLarge above MaxParts. Thread-safe.
+ * Splits the encoded snapshot of @p state into parts that each fit one record.
+ * @return the parts in index order, or TooLarge if more than
+ * SnapshotLimits::MaxParts are needed. Thread-safe.
  */
 Result<std::vector<SnapshotPartRecord>>
 splitSnapshot(const ControlState &state, const RecordId &snapshotId);
 
 /**
- * Collects snapshot parts from the log in any order. A snapshot of which parts
- * are missing or damaged yields nothing. Not thread-safe.
+ * Assembles snapshots from their parts, which may arrive in any order. A
+ * snapshot with missing or damaged parts yields no state. Not thread-safe.
  */
 class SnapshotAssembler {
 public:
-  /** @return the state once the last part of its snapshot was added. */
+  /** @return the decoded state if @p part completes its snapshot. */
   std::optional<ControlState> add(const SnapshotPartRecord &part);
 
 private:
@@ -50,17 +53,18 @@
   std::deque<Partial> Partials;
 };
 
-/** Place of a complete snapshot in the log. */
+/** Position of a complete snapshot in the log. */
 struct SnapshotLocation {
+  /** Offset of the newest record that the snapshot includes. */
   LogOffset AsOf = LogOffset::None;
-  /** Offset of the record that completed it. */
+  /** Offset of the record that completed the snapshot. */
   LogOffset End = LogOffset::None;
   std::uint32_t Parts = 0;
 };
 
 /**
- * Looks through a trimmed log for the newest complete snapshot that the
- * retained records continue. Not thread-safe.
+ * Searches a trimmed log for the newest complete snapshot from which the
+ * retained records can be replayed without a gap. Not thread-safe.
  */
 class SnapshotScan {
 public:
@@ -70,14 +74,19 @@
   /** @return the offset to read from. */
   LogOffset next() const { return Next; }
 
-  /** Adds the records read from next(). @return whether to read on, given the
-   * log's @p tail, the offset of its next append. */
+  /**
+   * Adds the records that were read from next().
+   * @param tail offset of the log's next append.
+   * @return whether records before @p tail are still to be read.
+   */
   bool add(const std::vector<LogEntry> &entries, LogOffset tail);
 
+  /** @return the newest snapshot found so far; its AsOf is None if there is
+   * none. */
   const SnapshotLocation &location() const { return Location; }
 
   /** @return the state of the snapshot at location(), or LogTrimmed if there is
-   * none. Call once. */
+   * none. Moves the state out, so call it only once. */
   Result<ControlState> take();
 
 private:
--- a/src/core/control_snapshot.cpp
+++ b/src/core/control_snapshot.cpp
@@ -64,7 +64,7 @@
     const auto record = decodeRecord(it.Bytes);
     const auto *part =
         record ? std::get_if<SnapshotPartRecord>(&record->Body) : nullptr;
-    // A snapshot from before the retained records leaves a gap.
+    // Records between an older snapshot and the first retained one are lost.
     if (part == nullptr || raw(part->AsOf) + 1 < raw(First) ||
         part->AsOf <= Location.AsOf) {
       continue;
@@ -81,7 +81,7 @@
   if (!Newest) {
     return Reason{ErrorCode::LogTrimmed,
                   "the log retains records from " + std::to_string(raw(First)) +
-                      " on and no complete snapshot that they continue"};
+                      " on, but no complete snapshot to replay them from"};
   }
   return std::move(*Newest);
 }
