--- a/include/chivefold/core/control_state.h
+++ b/include/chivefold/core/control_state.h
@@ -23,15 +23,16 @@
 
 namespace chivefold {
 
-/** Bounds of the replicated state. Each is part of the replay rules: all
- * daemons must use the same values, or their digests differ. */
+/** Limits of the replicated state. They are part of the replay rules: daemons
+ * with different values would compute different digests. */
 struct ControlStateLimits {
   static constexpr std::size_t MaxPendingChanges = 64;
   static constexpr std::size_t MaxPendingBytes = 4U << 20U;
   static constexpr std::size_t MaxAnnounces = 64;
   /** Ended moves of removed services are dropped, oldest first, above this. */
   static constexpr std::size_t MaxMoves = ConfigurationLimits::MaxServices;
-  /** Longer texts of records are cut, since they are kept in the state. */
+  /** Texts of records that are kept in the state are truncated to these
+   * lengths. */
   static constexpr std::size_t MaxWriterBytes = 128;
   static constexpr std::size_t MaxReasonBytes = 1024;
   static constexpr std::size_t MaxEvidenceBytes = 4096;
@@ -47,7 +48,7 @@
   std::string ToVersion;
   UtcTime Deadline{};
   std::uint32_t ShareBasisPoints = 0;
-  /** Offset of the newest step that counted, or None. */
+  /** Offset of the newest applied step, or None. */
   LogOffset StepOffset = LogOffset::None;
   bool Ended = false;
   /** Valid if Ended. */
@@ -57,14 +58,14 @@
   std::string Evidence;
 };
 
-/** Lease of a running move. */
+/** Exclusive right of one daemon to drive a running move. */
 struct Lease {
   std::string Service;
   Version Move = Version::None;
   DaemonId Holder;
   Epoch LeaseEpoch = Epoch::None;
-  /** Newest record of the holder that counted; a candidate restarts its
-   * takeover timer when this changes. */
+  /** Newest applied record of the holder; a candidate restarts its takeover
+   * timer when this changes. */
   LogOffset LastOffset = LogOffset::None;
 };
 
@@ -75,7 +76,7 @@
   LogOffset Offset = LogOffset::None;
 };
 
-/** An announced daemon. */
+/** Address of a daemon that announced itself in the log. */
 struct Announce {
   Address Peer;
   std::string DataCentre;
@@ -84,25 +85,27 @@
 };
 
 /**
- * Checks that every reference of a configuration resolves and that it keeps
- * the limits: dependencies, current and target versions, data centres, depth.
+ * Checks that every reference in a configuration resolves (dependencies,
+ * current and target versions, data centres) and that it is within
+ * ConfigurationLimits, including the dependency depth.
  * @return InvalidText with the first violation. Thread-safe.
  */
 Status validateConfiguration(const Configuration &config);
 
 /**
- * State machine over the log. Two instances that applied the same offsets have
- * equal digests. Not thread-safe; the configuration that it hands out is
- * immutable and may be read anywhere.
+ * Replicated state machine over the log. Two instances that applied the same
+ * offsets have equal digests. Not thread-safe; the configuration that it
+ * returns is immutable and may be read from any thread.
  */
 class ControlState {
 public:
   ControlState();
 
   /**
-   * Applies the entry after applied(). Entries at or below applied() are
-   * ignored (AlreadyApplied); undecodable ones count as applied.
-   * @return what became of the record, or Conflict if entries between
+   * Applies the entry that follows applied(). Entries at or below applied()
+   * are ignored (AlreadyApplied). An undecodable entry changes nothing but
+   * advances applied().
+   * @return the verdict on the record, or Conflict if entries between
    * applied() and this one are missing; the caller then fetches them.
    */
   Result<VerdictKind> apply(const LogEntry &entry);
@@ -110,7 +113,8 @@
   /** @return the offset of the newest applied entry. */
   LogOffset applied() const { return Applied; }
 
-  /** @return the offset of the change in force, None before the first. */
+  /** @return the offset of the newest change that was accepted, None before
+   * the first. */
   Version version() const { return CurrentVersion; }
 
   /** @return the configuration in force, never null. */
@@ -133,22 +137,24 @@
    * until the next call of apply(). */
   const Lease *lease(std::string_view service) const;
 
-  /** @return the version that gets the traffic of @p service that no move
-   * shifts, empty if the service is unknown. */
+  /** @return the version that serves the traffic of @p service outside of a
+   * running move's share, empty if the service is unknown. */
   std::string effectiveVersion(std::string_view service) const;
 
-  /** @return the claim that counts for @p key, while it is retained. */
+  /** @return the first claim of @p key, while it is retained. */
   std::optional<Claim> claim(const KeyHash &key) const {
     return Claims.find(key);
   }
 
+  /** @return whether @p dataCentre is out of service. */
   bool takenOut(std::string_view dataCentre) const;
 
   /** @return the state of @p dataCentre or nullptr. Valid until the next call
    * of apply(). */
   const DataCentreState *dataCentre(std::string_view dataCentre) const;
 
-  /** @return the newest announces, oldest first. */
+  /** @return the newest announcements, at most one for each peer address,
+   * oldest first. */
   const std::deque<Announce> &announces() const { return Announces; }
 
   /** @return a hash of the whole state; cached until the next apply(). */
@@ -159,8 +165,9 @@
 
   /**
    * Decodes untrusted bytes.
-   * @return the state, or InvalidRecord if the bytes are damaged, partial,
-   * break a bound, or do not hash to the digest they carry. Thread-safe.
+   * @return the state, or InvalidRecord if the bytes are damaged or
+   * incomplete, exceed a limit, or do not match the digest that they carry.
+   * Thread-safe.
    */
   static Result<ControlState> decodeSnapshot(std::string_view bytes);
 
@@ -171,6 +178,7 @@
     LogOffset Offset = LogOffset::None;
     std::string Bytes;
   };
+  /** Parts of a change whose commit has not been applied. */
   struct PendingChange {
     RecordId ChangeId;
     std::map<std::uint32_t, PendingPart> Parts;
@@ -179,12 +187,14 @@
     std::string ToVersion;
     LogOffset Offset = LogOffset::None;
   };
+  /** A decoded record with its offset and encoded bytes. */
   struct RecordContext {
     LogOffset Offset;
     const Record &Source;
     std::string_view Bytes;
   };
 
+  /** Applies a record whose id is new. @return the verdict. */
   Verdict applyRecord(const RecordContext &context);
   Verdict applyBody(const RecordContext &context, const ChangeRecord &r);
   Verdict applyBody(const RecordContext &context, const ChangePartRecord &r);
@@ -220,13 +230,14 @@
   std::uint64_t ConfigDigest = 0;
   std::map<std::string, MoveState, std::less<>> Moves;
   std::map<std::string, Lease, std::less<>> Leases;
-  /** Versions that finished moves made current, by service. */
+  /** Versions that completed moves made current, by service. They replace
+   * the current version of the configuration until that changes. */
   std::map<std::string, VersionOverride, std::less<>> Overrides;
   std::map<std::string, DataCentreState, std::less<>> DataCentres;
   std::deque<Announce> Announces;
   ClaimHistory Claims;
   VerdictHistory Verdicts;
-  /** Oldest first part first. */
+  /** Ordered by the arrival of the first part of each, oldest first. */
   std::deque<PendingChange> Pending;
   std::size_t PendingBytes = 0;
   mutable std::optional<std::uint64_t> CachedDigest;
--- a/src/core/control_state.cpp
+++ b/src/core/control_state.cpp
@@ -5,7 +5,7 @@
 namespace chivefold {
 namespace {
 
-/** Hashes values of different types one after the other. */
+/** Chains the hashes of a sequence of values of different types. */
 class Hasher {
 public:
   Hasher &add(std::uint64_t n) {
@@ -34,7 +34,7 @@
   h.add(m.Reason).add(m.Evidence);
 }
 
-/** Hashes the encoding of each section of the whole configuration. */
+/** @return a hash over the encoded sections of @p config. */
 std::uint64_t hashConfiguration(const Configuration &config) {
   std::uint64_t h = 0;
   for (auto &it : difference(Configuration{}, config)) {
@@ -62,7 +62,7 @@
     return VerdictKind::AlreadyApplied;
   }
   if (raw(entry.Offset) != raw(Applied) + 1) {
-    return Reason{ErrorCode::Conflict, "records missing before " +
+    return Reason{ErrorCode::Conflict, "records are missing before " +
                                            std::to_string(raw(entry.Offset))};
   }
   Applied = entry.Offset;
@@ -125,7 +125,8 @@
           toString(winner->Holder.Peer)};
 }
 
-// Snapshot parts are read by starting daemons only; see SnapshotAssembler.
+// Snapshot parts do not change the state. Only daemons that start read them,
+// by SnapshotAssembler.
 Verdict ControlState::applyBody(const RecordContext & /*context*/,
                                 const SnapshotPartRecord & /*r*/) {
   return {};
--- a/src/core/control_state_change.cpp
+++ b/src/core/control_state_change.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration and of what follows from it.
+// Applies configuration changes and their effects on moves and data centres.
 #include "chivefold/core/control_state.h"
 
 #include <algorithm>
@@ -43,7 +43,8 @@
       std::find_if(Pending.begin(), Pending.end(), [&](const PendingChange &p) {
         return p.ChangeId == r.ChangeId;
       });
-  // Keys are distinct, so size and last index imply that no part is missing.
+  // Part indexes are distinct, so the number of parts and the last index
+  // together imply that no part is missing.
   if (r.PartCount == 0 || it == Pending.end() ||
       it->Parts.size() != r.PartCount ||
       it->Parts.rbegin()->first != r.PartCount - 1) {
@@ -118,8 +119,8 @@
   return {};
 }
 
-// A version that a finished move made current carries all traffic, so it must
-// stay listed until the text names another current version.
+// A version that a completed move made current serves all traffic. It must
+// stay listed until the configuration names another current version.
 bool ControlState::overridesStayValid(const Configuration &next) const {
   return std::all_of(Overrides.begin(), Overrides.end(), [&](const auto &it) {
     const auto *before = Config->service(it.first);
--- a/src/core/control_state_closure.cpp
+++ b/src/core/control_state_closure.cpp
@@ -13,12 +13,14 @@
   return {ErrorCode::InvalidText, std::move(message)};
 }
 
-/** Computes how many services deep calls go from each service. */
+/** Computes the dependency depth of each service, with memoization. */
 class DepthCheck {
 public:
   explicit DepthCheck(const Configuration &config) : Config(config) {}
 
-  /** @return the depth below @p name; above MaxDepth also for a cycle. */
+  /** @return the depth of the dependencies of @p name, including itself, or a
+   * value above MaxDepth if they are too deep or form a cycle. @p above is the
+   * length of the path that led to it. */
   int depth(const std::string &name, int above) {
     if (above > ConfigurationLimits::MaxDepth) {
       return above;
@@ -95,7 +97,8 @@
   DepthCheck depths(config);
   for (const auto &it : config.Services) {
     if (depths.depth(it.first, 1) > ConfigurationLimits::MaxDepth) {
-      return violation("calls of " + it.first + " go too deep");
+      return violation("dependencies of " + it.first +
+                       " are cyclic or too deep");
     }
   }
   return Done{};
--- a/src/core/control_state_move.cpp
+++ b/src/core/control_state_move.cpp
@@ -1,4 +1,4 @@
-// Leases, steps and ends of moves.
+// Applies lease, step and end records of moves.
 #include "chivefold/core/control_state.h"
 
 namespace chivefold {
--- a/src/core/control_state_snapshot.cpp
+++ b/src/core/control_state_snapshot.cpp
@@ -1,4 +1,4 @@
-// Encoding of the control state as a ControlSnapshot buffer.
+// Encodes the control state as a ControlSnapshot buffer, and decodes it.
 #include "chivefold/core/control_state.h"
 
 #include "record_generated.h"
@@ -72,10 +72,10 @@
   return m;
 }
 
-/** Indexes equal values, so that each is encoded once. */
+/** Gives equal values the same index, so that each is encoded only once. */
 template <class Key> class Interner {
 public:
-  /** @return the number of @p key and whether it is new. */
+  /** @return the index of @p key and whether it is new. */
   std::pair<std::uint32_t, bool> intern(const Key &key) {
     const auto it =
         Indexes.emplace(key, static_cast<std::uint32_t>(Indexes.size()));
@@ -105,11 +105,12 @@
 
 } // namespace
 
-/** Reads and writes the private state of ControlState. */
+/** Converts the private state of ControlState to and from its wire type. */
 class ControlSnapshotCodec {
 public:
   static std::string encode(const ControlState &s);
-  /** @return whether @p w is a valid state, then held by @p s. */
+  /** Decodes @p w into the default-constructed @p s. @return whether @p w is
+   * valid; if not, @p s must be discarded. */
   static bool decode(const wire::ControlSnapshotT &w, ControlState &s);
 
 private:
@@ -351,7 +352,8 @@
 }
 
 Result<ControlState> ControlState::decodeSnapshot(std::string_view bytes) {
-  // The verifier requires alignment, which a slice of a frame may lack.
+  // The verifier requires aligned data, and a slice of a frame may be
+  // unaligned.
   std::vector<std::uint64_t> aligned((bytes.size() + 7) / 8);
   std::copy(bytes.begin(), bytes.end(),
             reinterpret_cast<char *>(aligned.data()));
@@ -365,7 +367,7 @@
       return state;
     }
   }
-  return Reason{ErrorCode::InvalidRecord, "damaged or partial snapshot"};
+  return Reason{ErrorCode::InvalidRecord, "snapshot is damaged or incomplete"};
 }
 
 } // namespace chivefold
