--- a/src/core/move_controller.cpp
+++ b/src/core/move_controller.cpp
@@ -109,10 +109,10 @@
     return "the new version is worse than the old one";
   }
   if (utcNow >= view.Deadline) {
-    return "the deadline passed before the move was done";
+    return "the deadline passed before the move was complete";
   }
   if (NoServerSince && now - *NoServerSince >= Settings.NoServerTimeout) {
-    return "no server of the new version can take work";
+    return "no server of the new version is available";
   }
   return {};
 }
@@ -126,8 +126,8 @@
   if (!view.TakenBack && tryEmit(ActionKind::TakeBack, now)) {
     actions.emplace_back(TakeBackNow{EndReason, EndEvidence});
   }
-  // The record counts from any daemon; the others wait for the holder, so that
-  // not all candidates append it.
+  // A take-back record is applied from any daemon. The other candidates wait
+  // for the holder first, so that not all of them append it.
   const auto wait = view.HeldByThisDaemon
                         ? Duration::zero()
                         : Settings.RankDelay * (view.Rank + 1);
@@ -140,13 +140,13 @@
 
 void MoveController::tryTakeLease(TimePoint now, const MoveView &view,
                                   std::vector<MoveAction> &actions) {
-  HoldReason = "another daemon drives the move";
+  HoldReason = "this daemon does not hold the lease of the move";
   if (!LogFreshSince) {
-    HoldReason = "the log cannot be read";
+    HoldReason = "the log is not available";
     return;
   }
-  // Silence counts only while the log can be read: in an outage a holder that
-  // lives cannot renew either.
+  // The lease timeout runs only while the log is available: during an outage a
+  // running holder cannot renew its lease either.
   auto since = std::max(*FirstTick, *LogFreshSince);
   auto wait = Settings.RankDelay * view.Rank;
   if (view.CurrentEpoch != Epoch::None) {
@@ -172,7 +172,7 @@
   if (remainingSteps(view.ShareBasisPoints) == 0) {
     if (tryEmit(ActionKind::End, now)) {
       actions.emplace_back(AppendEnd{view.CurrentEpoch, MoveResult::Done,
-                                     "watched at the full share",
+                                     "observed at the full share",
                                      Test.assess().Evidence});
     }
   } else if (tryEmit(ActionKind::Step, now)) {
@@ -188,12 +188,12 @@
   if (!view.LogAvailable || !isFresh(now, view.LogRead)) {
     return "the log is not available";
   }
-  // A holder that was paused first has to see that its lease is still in force.
+  // A holder that was paused must first see that it still holds the lease.
   if (!view.HolderSeen || now - *view.HolderSeen >= Settings.LeaseTimeout) {
-    return "the lease is not renewed";
+    return "the renewal of the lease is not confirmed";
   }
   if (view.AbleServers == 0) {
-    return "no server of the new version can take work";
+    return "no server of the new version is available";
   }
   if (view.ShareBasisPoints == 0) {
     return {};
