--- a/include/chivefold/core/sequential_test.h
+++ b/include/chivefold/core/sequential_test.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Sequential comparison of a new version of a service with the old one.
+ * Sequential statistical test of a new version of a service against the old
+ * one.
  */
 #ifndef CHIVEFOLD_CORE_SEQUENTIAL_TEST_H
 #define CHIVEFOLD_CORE_SEQUENTIAL_TEST_H
@@ -15,8 +16,8 @@
 
 namespace chivefold {
 
-/** Cumulative counts of one version on one route and kind, summed over gates.
- */
+/** Cumulative counts of one version for one route and kind of call, summed over
+ * all gates. */
 struct KindCounts {
   std::string PathPrefix;
   std::string Kind;
@@ -24,64 +25,71 @@
   std::uint64_t Calls = 0;
   /** Calls that ran and failed. */
   std::uint64_t Errors = 0;
-  /** Calls that a gate refused; not part of Calls. */
+  /** Calls that a gate refused; not included in Calls. */
   std::uint64_t Refusals = 0;
   std::uint64_t LatencySumUs = 0;
   /** Sum of squared latencies, in square milliseconds. */
   double LatencySquareSumMs2 = 0;
 };
 
-/** Sums of counts by route and kind. Not thread-safe. */
+/** Sums counts by route and kind. Not thread-safe. */
 class KindSums {
 public:
   void add(const std::vector<KindCounts> &counts);
-  /** @return one entry for each route and kind. */
+  /** @return the sums, one entry for each route and kind. */
   std::vector<KindCounts> all() const;
 
 private:
   std::map<std::pair<std::string, std::string>, KindCounts> Sums;
 };
 
-/** What the test says about the new version. */
+/** Decision of the test on the new version. */
 enum class TestVerdict : std::uint8_t { Undecided, Good, Bad };
 
-/** Weights of the test. Each deployment states its own. */
+/** Parameters of the test. */
 struct SequentialTestSettings {
-  /** Accepted probability of calling a good version bad, over all routes. */
+  /** Probability of a false positive, a good version that is found bad, over
+   * all routes together. */
   double Alpha = 0.01;
-  /** Accepted probability of calling a bad version good. */
+  /** Probability of a false negative, a bad version that is found good. */
   double Beta = 0.05;
-  /** An old error rate below this floor counts as the floor. */
+  /** Lower bound of the old version's error rate in the test. */
   double ErrorFloor = 0.01;
-  /** A version is bad if its error rate exceeds the old one by this much. */
+  /** A version is bad if its error rate exceeds the old one by this
+   * difference. */
   double ErrorMargin = 0.03;
-  /** A second error test with this margin finds a version that fails often
-   * after fewer calls. */
+  /** Margin of a second error test, which needs fewer calls to detect a version
+   * with a high error rate. */
   double GrossErrorMargin = 0.3;
-  /** Servers in cold start refuse more, so floor and margin are wider. */
+  /** Floor and margin of the refusal rate. They are wider than those of errors
+   * because servers refuse more calls during a cold start. */
   double RefusalFloor = 0.05;
   double RefusalMargin = 0.15;
   /** A version is bad if its mean latency exceeds the old one by this factor.
    */
   double LatencyFactor = 1.8;
-  /** Latency below this many calls of a version is not judged. */
+  /** Calls of each version below which latency is not tested. */
   double MinLatencyCalls = 20;
-  /** Calls of the old version that its recent rates are taken over. */
+  /** Window, in calls, over which the rates of the old version are
+   * estimated. */
   double BaselineCalls = 1000;
-  /** The old rate over this many calls counts if it is higher, so that an
-   * outage that affects both versions is not held against the new one. */
+  /** Shorter window, in calls. The old version's rate over it is used if it is
+   * higher, so that an outage that affects both versions is not attributed to
+   * the new one. */
   double RecentCalls = 40;
 };
 
-/** TestVerdict with the figures that support it. */
+/** A TestVerdict with its supporting evidence. */
 struct Assessment {
   TestVerdict Result = TestVerdict::Undecided;
   /**
-   * Strongest evidence against the new version as a part of the evidence that
-   * is needed to call it bad; 1 or more means bad, 0 or less speaks for it.
+   * Highest log likelihood ratio of all series, divided by the bound for "bad".
+   * 1 or more means that the version is bad; 0 or less is evidence that it is
+   * good.
    */
   double Suspicion = 0;
-  /** One line that names route, kind, rates and counts. */
+  /** Description of the series behind Suspicion in one line: route, kind, rates
+   * and counts. */
   std::string Evidence;
 };
 
@@ -89,16 +97,17 @@
  * A sequential probability ratio test for each route and kind and for all
  * routes together, on errors, refusals and latency.
  *
- * Each series accumulates a log likelihood ratio over the growth of the counts
- * between two calls of update(). It is held at the bound for "good", so that a
- * version that turns bad later is found after about as many calls as one that
- * is bad from the start. The bound for "bad" is corrected for the number of
- * series (Bonferroni). "Good" needs the series over all routes together to
- * reach its bound for errors and latency since the last restart().
+ * Each series accumulates a log likelihood ratio over the increments of the
+ * counts between two calls of update(). The ratio is clamped at the bound for
+ * "good", so that a version that turns bad later is detected after about as
+ * many calls as one that is bad from the start. The bound for "bad" has a
+ * Bonferroni correction for the number of series. "Good" requires that the
+ * series over all routes together reaches its bound for errors and latency
+ * since the last restart().
  *
- * At most MaxSeries series are kept; further routes count only in the series
- * over all routes. Counts that shrink (a restarted gate) rebase the series.
- * Not thread-safe.
+ * At most MaxSeries routes and kinds have a series of their own; further ones
+ * are ignored. Counts that decrease (a gate restarted) become the new baseline
+ * and add no evidence. Not thread-safe.
  */
 class SequentialTest {
 public:
@@ -108,24 +117,26 @@
   explicit SequentialTest(const SequentialTestSettings &settings);
 
   /**
-   * Adds the growth of the counts since the last call.
-   * @param oldCounts, newCounts cumulative counts of either version.
+   * Adds the increments of the counts since the last call.
+   * @param oldCounts, newCounts cumulative counts of the old and new version.
    */
   void update(const std::vector<KindCounts> &oldCounts,
               const std::vector<KindCounts> &newCounts);
 
-  /** Forgets evidence for the version, keeps evidence against it; used when
-   * the share rises, since a version may fail only under more load. */
+  /** Discards evidence for the new version but keeps evidence against it. Call
+   * when the share changes, since a version may fail only under more load. */
   void restart();
 
-  /** @return the verdict on everything seen so far. */
+  /** @return the verdict on all counts so far. */
   Assessment assess() const;
 
-  /** @return calls and refusals of the new version since restart(). */
+  /** @return number of calls and refusals of the new version since
+   * restart(). */
   double callsSinceRestart() const { return NewCallsSinceRestart; }
 
 private:
-  /** Recent sums of one version; older calls are scaled down. */
+  /** Weighted sums of the recent calls of one version; older calls are scaled
+   * down to keep the total within a limit. */
   struct Window {
     double Calls = 0;
     double Errors = 0;
--- a/src/core/sequential_test.cpp
+++ b/src/core/sequential_test.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-/** Weight, in calls, of the floor in the estimate of the old version's rate. */
+/** Weight, in calls, of the floor as the prior of the old version's rate. */
 constexpr double PriorCalls = 50;
 constexpr double RecentPriorCalls = 10;
 
-/** Calls over which the variance of the new version's latency is taken. */
+/** Window, in calls, of the new version's mean latency and variance. */
 constexpr double NewWindowCalls = 200;
 
-/** Largest growth of the latency evidence in one update, plus that for each of
- * its calls. Latencies have long tails: without it a single call of eight times
- * the mean was enough to call a good version bad. */
+/** Limit on the increase of the latency evidence in one update: a constant and
+ * an amount for each call. Latencies have long tails, and without the limit a
+ * single call of eight times the mean is enough to find a good version bad. */
 constexpr double MaxLatencyGrowth = 1.0;
 constexpr double MaxLatencyGrowthPerCall = 0.3;
 
-/** Smallest relative variance; guards against division by a constant latency.
- */
+/** Lower bound of the relative variance; avoids a division by zero if the
+ * latency is constant. */
 constexpr double MinRelativeVariance = 0.01;
 
 constexpr std::array<const char *, 4> MeasureNames = {"errors", "errors",
@@ -195,8 +195,8 @@
   }
   const double mean = std::max(series.Old.meanMs(), 0.001);
   const double shift = Settings.LatencyFactor - 1;
-  // The larger variance counts: one slow call then raises the variance along
-  // with the mean and is weak evidence.
+  // With the larger variance, a single slow call of the new version raises the
+  // variance along with the mean and is only weak evidence.
   const double variance =
       std::max({series.Old.varianceMs2() / (mean * mean),
                 series.New.varianceMs2() / (mean * mean), MinRelativeVariance});
@@ -211,7 +211,7 @@
 }
 
 double SequentialTest::upperBound() const {
-  // Each measure for each route and for all routes together.
+  // Each measure is tested for each route and for all routes together.
   const double tests =
       static_cast<double>(MeasureCount) *
       static_cast<double>(Routes.size() > 1 ? Routes.size() + 1 : 1);
@@ -253,7 +253,7 @@
   Assessment out;
   out.Suspicion = worst->Evidence[measure] / upperBound();
   out.Evidence = describe(*worst, measure);
-  const double low = lowerBound() * 0.999; // Not subject to rounding.
+  const double low = lowerBound() * 0.999; // Tolerates rounding errors.
   if (out.Suspicion >= 1) {
     out.Result = TestVerdict::Bad;
   } else if (AllRoutes.Evidence[Errors] <= low &&
