--- a/include/chivefold/core/snapshot_schedule.h
+++ b/include/chivefold/core/snapshot_schedule.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Decides when a snapshot of the control state is appended to the log, and by
- * whom.
+ * Schedule that decides when, and by which daemon, a snapshot of the control
+ * state is appended to the log.
  */
 #ifndef CHIVEFOLD_CORE_SNAPSHOT_SCHEDULE_H
 #define CHIVEFOLD_CORE_SNAPSHOT_SCHEDULE_H
@@ -22,19 +22,20 @@
 
 namespace chivefold {
 
-/** Times and bounds of the schedule. */
+/** Intervals and limits of the schedule. */
 struct SnapshotScheduleLimits {
-  /** Records after a snapshot before the used retention makes the next one
-   * due; the parts of the snapshot if they are more, so that snapshots are at
-   * most about half of the log. */
+  /** Fewest records between a snapshot and the next one that is due by
+   * RetentionUsed. The number of parts of the snapshot counts instead if it is
+   * larger, so that snapshots take up at most about half of the log. */
   static constexpr std::uint64_t MinRecords = 16;
   static constexpr Duration MaxAge = std::chrono::hours(1);
-  /** Age at which a snapshot is renewed when the log expires records by time
-   * while few are appended. */
+  /** Age from which a snapshot is renewed with fewer than MinRecords new
+   * records, if the log has expired records since: a log that expires records
+   * by time would drop the snapshot while few records are appended. */
   static constexpr Duration MinRenewalAge = std::chrono::minutes(1);
-  /** A candidate starts this long after the one before it, and after the last
-   * part that another writer appended. At the log's budget of 300 appends/s it
-   * is 1,500 records. */
+  /** Delay of each candidate after the one ranked before it, and after the
+   * last part of an incomplete snapshot by another writer. At the log's budget
+   * of 300 appends/s, 1,500 records are appended in that time. */
   static constexpr Duration TakeoverDelay = std::chrono::seconds(5);
 };
 
@@ -44,35 +45,37 @@
   RetentionUsed,
   /** The newest snapshot is MaxAge old. */
   Age,
-  /** The log no longer retains what a starting daemon needs. */
+  /** A starting daemon can no longer rebuild the state from the log. */
   NotRecoverable,
 };
 
 /** @return a name for log lines. Thread-safe. */
 std::string_view snapshotCauseName(SnapshotCause cause);
 
-/** Place of a daemon among the candidates. */
+/** Rank of a daemon among the candidates that may write a snapshot. */
 struct SnapshotRank {
-  /** 0 writes first; none if the daemon is no candidate. */
+  /** The candidate of rank 0 writes first; absent if the daemon is not a
+   * candidate. */
   std::optional<std::size_t> Rank;
   std::size_t Candidates = 0;
 };
 
-/** @return the place of this daemon among the log readers of all data centres
- * in rendezvous order. Not thread-safe. */
+/** @return the rank of this daemon among the log readers of all data centres,
+ * in rendezvous hashing order. Not thread-safe. */
 SnapshotRank snapshotRank(const MemberTable &members);
 
 /**
- * Follows the snapshots in the log by the applied records and decides when this
- * daemon appends one. Not thread-safe.
+ * Tracks the snapshots in the log through the applied records and decides when
+ * this daemon must append one. Not thread-safe.
  */
 class SnapshotSchedule {
 public:
-  /** A record was applied; records come in log order. */
+  /** Call for each applied record, in log order. */
   void applied(const LogEntry &entry, TimePoint now);
 
-  /** The state was replaced by a peer's, so that snapshots in the records that
-   * were skipped are not known. Nothing is due until scanned(). */
+  /** Call when the state was replaced by that of a peer. The skipped records
+   * may contain snapshots, so nothing is due until scanned() is called or a
+   * newer snapshot is complete. */
   void recordsSkipped() { Skipped = true; }
 
   /** @return whether a snapshot would be due, but the log must be scanned for
@@ -81,22 +84,24 @@
     return Skipped && dueCause(applied, now);
   }
 
-  /** The retained log was scanned. @param newest the newest complete snapshot
-   * in it; its AsOf is None if there is none. */
+  /** Call when the retained log has been scanned. @param newest the newest
+   * complete snapshot in it; its AsOf is None if there is none. */
   void scanned(const SnapshotLocation &newest, TimePoint now);
 
-  /** The log was read. @param first oldest retained offset. @param next offset
-   * of the next append. */
+  /** Call after each read of the log. @param first oldest retained offset.
+   * @param next offset of the next append. */
   void logRead(LogOffset first, LogOffset next, TimePoint now);
 
-  /** An attempt of this daemon ended; the next one is not due before
-   * TakeoverDelay unless the snapshot is seen complete. */
+  /** Call when an attempt of this daemon to write a snapshot has ended. The
+   * next one is not due within TakeoverDelay unless a complete snapshot is
+   * seen first. */
   void attemptEnded(TimePoint now);
 
   /**
-   * @param applied offset applied by this daemon, which its snapshot will have.
+   * @param applied offset applied by this daemon; AsOf of its snapshot.
    * @param rank is called only if a snapshot is due.
-   * @return why this daemon must append a snapshot now, if it must.
+   * @return why this daemon must append a snapshot now, or nothing if it must
+   * not.
    */
   std::optional<SnapshotCause> due(LogOffset applied,
                                    const std::function<SnapshotRank()> &rank,
@@ -107,20 +112,21 @@
   const SnapshotLocation &newest() const { return Newest; }
 
 private:
-  /** Indexes seen of a snapshot without all parts. */
+  /** Part indexes seen of an incomplete snapshot. */
   struct Partial {
     RecordId Id;
     std::set<std::uint32_t> Seen;
   };
 
   void setNewest(const SnapshotLocation &location, TimePoint now);
+  /** @return why a snapshot is due, regardless of rank and delays. */
   std::optional<SnapshotCause> dueCause(LogOffset applied, TimePoint now) const;
   bool retentionUsed(TimePoint now) const;
 
   SnapshotLocation Newest;
   std::optional<TimePoint> NewestAt;
   LogOffset FirstAtNewest = LogOffset::None;
-  /** At most SnapshotLimits::MaxAssembled, the oldest is dropped. */
+  /** At most SnapshotLimits::MaxAssembled; the oldest is dropped first. */
   std::deque<Partial> Partials;
   LogOffset First = LogOffset::None;
   LogOffset Next = LogOffset::None;
--- a/src/core/snapshot_schedule.cpp
+++ b/src/core/snapshot_schedule.cpp
@@ -7,7 +7,8 @@
 namespace chivefold {
 namespace {
 
-/** Separates this order from that of the readers within a data centre. */
+/** Makes this order independent of that of the log readers within a data
+ * centre. */
 constexpr std::uint64_t SnapshotRankSeed = 0x736e617073686f74;
 
 } // namespace
@@ -19,7 +20,7 @@
   case SnapshotCause::Age:
     return "the newest snapshot is old";
   case SnapshotCause::NotRecoverable:
-    return "the log alone does not give the state";
+    return "the state cannot be rebuilt from the retained log";
   }
   return "unknown";
 }
@@ -109,8 +110,9 @@
 bool SnapshotSchedule::retentionUsed(TimePoint now) const {
   const auto span = raw(Next) - raw(First);
   const auto tail = raw(Next) - 1;
-  // While nothing was trimmed the retention is not known: the rule then gives
-  // snapshots at doubling offsets, so that one exists when trimming begins.
+  // The retention is unknown until records are trimmed. Until then, this rule
+  // makes snapshots due at doubling offsets, so that one exists when trimming
+  // begins.
   if (tail <= raw(Newest.AsOf) || 2 * (tail - raw(Newest.AsOf)) < span) {
     return false;
   }
@@ -123,7 +125,7 @@
 
 std::optional<SnapshotCause> SnapshotSchedule::dueCause(LogOffset applied,
                                                         TimePoint now) const {
-  // A snapshot from before the retained records would leave a gap.
+  // Records between an older snapshot and the first retained one would be lost.
   if (First == LogOffset::None || applied <= Newest.AsOf ||
       raw(applied) + 1 < raw(First)) {
     return std::nullopt;
@@ -156,7 +158,7 @@
   auto from = *DueSince;
   auto delays = *position.Rank;
   if (PartSeenAt) {
-    // Another writer is at work, or died half way.
+    // Another writer is still appending, or failed before the last part.
     from = std::max(from, *PartSeenAt);
     delays = std::max<std::size_t>(delays, 1);
   }
