--- a/include/chivefold/core/record.h
+++ b/include/chivefold/core/record.h
@@ -18,24 +18,27 @@
 
 namespace chivefold {
 
-/** Largest record; a larger change is appended as begin, parts and commit. */
+/** Largest encoded record. A change that does not fit is appended as several
+ * parts and a commit. */
 constexpr std::size_t MaxRecordBytes = 32U << 10U;
 
-/** A configuration change that fits one record. Counts only if Base is the
- * version in force at its place. */
+/** A configuration change that fits one record. Applied only if Base is the
+ * configuration version in force at its log offset. */
 struct ChangeRecord {
   Version Base = Version::None;
   std::vector<Section> Sections;
 };
 
-/** Part of a change that needs several records. Ignored without its commit. */
+/** Part of a change that needs several records. Has no effect until the commit
+ * of ChangeId is applied. */
 struct ChangePartRecord {
   RecordId ChangeId;
   std::uint32_t Index = 0;
   std::vector<Section> Sections;
 };
 
-/** Commits the parts of ChangeId; ignored if count or digest disagree. */
+/** Commits the parts of ChangeId. Has no effect if the part count or the digest
+ * does not match the parts. */
 struct ChangeCommitRecord {
   RecordId ChangeId;
   Version Base = Version::None;
@@ -44,18 +47,18 @@
   std::uint64_t Digest = 0;
 };
 
-/** Takes or renews the lease of a move; counts only if ExpectedEpoch is
- * current. A renewal by the holder keeps the epoch. */
+/** Takes or renews the lease of a move. Applied only if ExpectedEpoch is the
+ * current lease epoch. A renewal by the holder keeps the epoch. */
 struct LeaseTakeRecord {
   std::string Service;
-  /** Version of the configuration that asked for the move. */
+  /** Configuration version that requested the move. */
   Version Move = Version::None;
   DaemonId Holder;
   Epoch ExpectedEpoch = Epoch::None;
 };
 
-/** Raises (or lowers) the share of a move; counts only under the current epoch.
- */
+/** Sets the traffic share of a move. Applied only under the current lease
+ * epoch. */
 struct MoveStepRecord {
   std::string Service;
   Version Move = Version::None;
@@ -69,9 +72,9 @@
 std::optional<MoveResult> moveResultFromName(std::string_view name);
 
 /**
- * Ends a move. "Done" counts only under the current epoch, since it keeps
- * exposure; "taken back" only reduces exposure and counts from any daemon
- * while the move runs.
+ * Ends a move. Done is applied only under the current lease epoch, since it
+ * keeps traffic on the new version. TakenBack only removes traffic from it, so
+ * it is applied from any daemon while the move runs.
  */
 struct MoveEndRecord {
   std::string Service;
@@ -82,13 +85,14 @@
   std::string Evidence;
 };
 
-/** Takes a data centre out or puts it back. */
+/** Takes a data centre out of service or puts it back. */
 struct DataCentreRecord {
   std::string DataCentre;
   bool TakenOut = false;
 };
 
-/** Address of a daemon that found no live peer, so that others can reach it. */
+/** Announces the address of a daemon that found no live peer, so that other
+ * daemons can contact it. */
 struct AnnounceRecord {
   Address Peer;
   std::string DataCentre;
@@ -96,20 +100,21 @@
 };
 
 /**
- * Claims idempotency keys before their requests run. For each key the first
- * claim in log order counts; its holder alone may run the request.
+ * Claims idempotency keys before their requests run. For each key, only the
+ * holder of the first claim in log order may run the request.
  */
 struct ClaimRecord {
   DaemonId Holder;
   std::vector<KeyHash> Keys;
 };
 
-/** Part of a snapshot of the control state as of AsOf. */
+/** Part of a snapshot of the control state at log offset AsOf. */
 struct SnapshotPartRecord {
   RecordId SnapshotId;
   LogOffset AsOf = LogOffset::None;
   std::uint32_t Index = 0;
   std::uint32_t PartCount = 0;
+  /** Hash of the whole encoded snapshot. */
   std::uint64_t Digest = 0;
   std::string Bytes;
 };
@@ -120,15 +125,16 @@
                  DataCentreRecord, AnnounceRecord, ClaimRecord,
                  SnapshotPartRecord>;
 
-/** One record as its writer made it. */
+/** A decoded log record. */
 struct Record {
   RecordId Id;
-  /** Who wrote it, for operators only; never used to judge. */
+  /** Who wrote the record. Shown to operators; does not affect how the record
+   * is applied. */
   std::string Writer;
   RecordBody Body;
 };
 
-/** An encoded record at its place in the log. */
+/** An encoded record with its offset in the log. */
 struct LogEntry {
   LogOffset Offset = LogOffset::None;
   std::string Bytes;
@@ -138,19 +144,19 @@
 std::string encodeRecord(const Record &record);
 
 /**
- * Decodes untrusted bytes; never reads outside of them.
+ * Decodes untrusted bytes without reading out of bounds.
  * @return the record, or InvalidRecord. Thread-safe.
  */
 Result<Record> decodeRecord(std::string_view bytes);
 
-/** Most parts of one change, which bounds what readers keep without a commit.
- */
+/** Maximum number of parts of one change. Limits the memory that readers use
+ * for a change without a commit. */
 constexpr std::uint32_t MaxChangeParts = 256;
 
-/** Most claims in one record. */
+/** Maximum number of keys in one ClaimRecord. */
 constexpr std::size_t MaxClaimKeys = 1024;
 
-/** Seed of the digest of a change, before its first part. */
+/** Digest of a change before its first part is added. */
 constexpr std::uint64_t InitialChangeDigest = 0;
 
 /**
@@ -165,11 +171,11 @@
 /**
  * Builds the records of a change, in the order in which they are appended: one
  * ChangeRecord if it fits MaxRecordBytes, else parts and a commit.
- * @param base version that the change was based on.
+ * @param base configuration version that the change is based on.
  * @param sections the change; applied in order.
- * @param newId gives the identity of each record.
+ * @param newId generates the id of each record.
  * @param writer who makes the change, for operators.
- * @return the records, or TooLarge if one section alone does not fit a record
+ * @return the records, or TooLarge if a single section does not fit a record
  * or more than MaxChangeParts parts are needed. Thread-safe if @p newId is.
  */
 Result<std::vector<Record>> makeChange(Version base,
--- a/src/core/record.cpp
+++ b/src/core/record.cpp
@@ -16,7 +16,7 @@
 /** The deepest tables of the schema are Record, Change, Section, Service and
  * Route. */
 constexpr unsigned MaxTableDepth = 8;
-/** Tables of a valid record of MaxRecordBytes take at least 8 bytes each. */
+/** Each table of a valid record takes at least 8 bytes. */
 constexpr unsigned MaxTables = MaxRecordBytes / 8;
 
 using WireSections = std::vector<std::unique_ptr<wire::SectionT>>;
@@ -56,7 +56,8 @@
       (section->fleet ? 1 : 0) + (section->service ? 1 : 0) +
               (section->removed_service.empty() ? 0 : 1) !=
           1) {
-    return invalidRecord("section without exactly one content");
+    return invalidRecord("section must hold exactly one of fleet, service and "
+                         "removed_service");
   }
   Section s;
   s.RemovedService = section->removed_service;
@@ -89,7 +90,7 @@
   return all;
 }
 
-/** One overload per body that makes its wire type. */
+/** Visitor that converts each record body to its wire type. */
 struct ToWire {
   wire::RecordBodyUnion &To;
 
@@ -188,7 +189,7 @@
     return id ? sections.reason() : id.reason();
   }
   if (w.index >= MaxChangeParts) {
-    return invalidRecord("change part index over the bound");
+    return invalidRecord("change part index out of bounds");
   }
   return RecordBody(ChangePartRecord{*id, w.index, std::move(*sections)});
 }
@@ -216,7 +217,7 @@
 
 Result<RecordBody> bodyFromWire(const wire::MoveStepT &w) {
   if (w.share_basis_points > MaxShareBasisPoints) {
-    return invalidRecord("share over 10000 basis points");
+    return invalidRecord("share above 10000 basis points");
   }
   return RecordBody(MoveStepRecord{w.service, Version{w.move},
                                    Epoch{w.lease_epoch}, w.share_basis_points});
@@ -225,7 +226,7 @@
 Result<RecordBody> bodyFromWire(const wire::MoveEndT &w) {
   const auto result = static_cast<MoveResult>(w.result);
   if (!moveResultFromName(moveResultName(result))) {
-    return invalidRecord("unknown result of a move");
+    return invalidRecord("unknown move result");
   }
   return RecordBody(MoveEndRecord{w.service, Version{w.move},
                                   Epoch{w.lease_epoch}, result, w.reason,
@@ -265,7 +266,7 @@
     return id.reason();
   }
   if (w.index >= w.part_count) {
-    return invalidRecord("snapshot part index over its count");
+    return invalidRecord("snapshot part index out of bounds");
   }
   return RecordBody(SnapshotPartRecord{
       *id, LogOffset{w.as_of}, w.index, w.part_count, w.digest,
@@ -273,7 +274,7 @@
 }
 
 Result<RecordBody> bodyFromWire(const wire::RecordBodyUnion &body) {
-  // The verifier accepts a kind without a body.
+  // The FlatBuffers verifier accepts a union type without a value.
   if (body.value == nullptr) {
     return invalidRecord("record without body");
   }
@@ -301,10 +302,12 @@
   case wire::RecordBody::NONE:
     break;
   }
-  return invalidRecord("record of an unknown kind");
+  return invalidRecord("unknown record kind");
 }
 
-/** The other bodies hold no lists of references. */
+/** @return unsharedBytes() of the sections of @p record, or 0 if its kind has
+ * no sections. The other kinds contain no lists of references, so they cannot
+ * share content. */
 std::size_t unsharedRecordBytes(const wire::Record *record) {
   if (const auto *change = record->body_as_Change()) {
     return unsharedBytes(change->sections());
@@ -336,9 +339,10 @@
 
 Result<Record> decodeRecord(std::string_view bytes) {
   if (bytes.size() > MaxRecordBytes) {
-    return invalidRecord("record over the largest size");
+    return invalidRecord("record exceeds the maximum size");
   }
-  // The verifier checks alignment by address, which a view does not have.
+  // The verifier checks the alignment of addresses, and a view may be
+  // unaligned.
   const std::vector<std::uint64_t> aligned = [&] {
     std::vector<std::uint64_t> buf((bytes.size() + 7) / 8);
     std::copy(bytes.begin(), bytes.end(), reinterpret_cast<char *>(buf.data()));
@@ -347,11 +351,11 @@
   const auto *data = reinterpret_cast<const std::uint8_t *>(aligned.data());
   flatbuffers::Verifier verifier(data, bytes.size(), MaxTableDepth, MaxTables);
   if (!verifier.VerifyBuffer<wire::Record>(nullptr)) {
-    return invalidRecord("record is damaged");
+    return invalidRecord("record is malformed");
   }
   const auto *root = flatbuffers::GetRoot<wire::Record>(data);
   if (unsharedRecordBytes(root) > MaxRecordBytes) {
-    return invalidRecord("record with shared content");
+    return invalidRecord("record exceeds the maximum size once unpacked");
   }
   wire::RecordT w;
   root->UnPackTo(&w);
