--- a/src/core/record_wire.cpp
+++ b/src/core/record_wire.cpp
@@ -3,11 +3,13 @@
 namespace chivefold {
 namespace {
 
-/** Offset and size field that each string or table takes at least. */
+/** Fewest bytes of a string or table besides its content: the offset that
+ * refers to it and its size field. */
 constexpr std::size_t ReferenceBytes = 8;
 
 using Strings = flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>;
 
+/** The overloads return a lower bound of the encoded size without sharing. */
 std::size_t minBytes(const flatbuffers::String *s) {
   return s == nullptr ? 0 : ReferenceBytes + s->size();
 }
@@ -127,11 +129,11 @@
               service.limits->queue, service.limits->cold_slots};
   for (const auto &it : service.routes) {
     if (!it) {
-      return invalidRecord("route without content");
+      return invalidRecord("route is null");
     }
-    // Written so that a value that is not a number is refused too.
+    // The negated form also rejects NaN.
     if (!(it->objective > 0 && it->objective < 1)) {
-      return invalidRecord("objective outside of 0 to 1");
+      return invalidRecord("objective is not between 0 and 1");
     }
     s.Routes.push_back({it->method, it->path_prefix, it->kind, it->repeatable,
                         it->worth, it->timeout_ms, it->objective});
@@ -146,14 +148,14 @@
 
 Result<Address> fromWire(const wire::AddressT *address) {
   if (address == nullptr || address->ip.empty()) {
-    return invalidRecord("record without address");
+    return invalidRecord("record without peer address");
   }
   return Address{address->ip, address->port};
 }
 
 Result<DaemonId> fromWire(const wire::DaemonIdT *id) {
   if (id == nullptr) {
-    return invalidRecord("record without daemon");
+    return invalidRecord("record without daemon id");
   }
   const auto peer = fromWire(id->peer.get());
   if (!peer) {
