--- a/src/core/change.cpp
+++ b/src/core/change.cpp
@@ -3,7 +3,8 @@
 namespace chivefold {
 namespace {
 
-/** @return how many sections from @p first fit one part; 0 if none does. */
+/** @return how many sections starting at @p first fit one part record; 0 if
+ * even one section is too large. */
 std::size_t fittingSections(const std::vector<Section> &sections,
                             std::size_t first, const std::string &writer) {
   const auto fits = [&](std::size_t n) {
@@ -15,7 +16,7 @@
             {}, MaxChangeParts, {from, from + static_cast<std::ptrdiff_t>(n)}}};
     return encodeRecord(r).size() <= MaxRecordBytes;
   };
-  // Doubling, then bisection, so that a part costs few encodings.
+  // Doubling and then bisection, to need few trial encodings for each part.
   const auto rest = sections.size() - first;
   std::size_t fitting = 0;
   std::size_t tooMany = 1;
@@ -52,8 +53,8 @@
     const auto n = fittingSections(sections, first, writer);
     if (n == 0 || records.size() == MaxChangeParts) {
       return Reason{ErrorCode::TooLarge,
-                    n == 0 ? "one section does not fit a record"
-                           : "the change needs too many records"};
+                    n == 0 ? "a section exceeds the maximum record size"
+                           : "the change exceeds the maximum number of parts"};
     }
     const auto from = sections.begin() + static_cast<std::ptrdiff_t>(first);
     const auto index = static_cast<std::uint32_t>(records.size());
@@ -65,8 +66,8 @@
     first += n;
   }
   const auto count = static_cast<std::uint32_t>(records.size());
-  // The commit has the identity of the change, so a lost answer to the change
-  // is resolved by one id in both cases.
+  // The commit reuses the id of the change: after a lost response to an append,
+  // the same id then gives the verdict for a single record and a split change.
   records.push_back(
       {changeId, writer, ChangeCommitRecord{changeId, base, count, digest}});
   return records;
