--- a/tests/unit/control_state_test.cpp
+++ b/tests/unit/control_state_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto Counted = VerdictKind::Counted;
 
-/** A log and its replay. */
+/** A log and a state machine that applies it. */
 struct Replay {
   VerdictKind add(RecordBody body, const std::string &writer = "op") {
     return *State.apply(Log.append(std::move(body), writer));
@@ -20,7 +20,8 @@
   VerdictKind change(Section section, const std::string &writer = "op") {
     return add(ChangeRecord{State.version(), {std::move(section)}}, writer);
   }
-  /** Configures service "s" with a move to v2. @return the move. */
+  /** Configures service "s" with a move to v2. @return the version that
+   * identifies the move. */
   Version startMove() {
     REQUIRE(change(fleetSection()) == Counted);
     REQUIRE(change(serviceSection(movingService("s"))) == Counted);
@@ -33,8 +34,8 @@
 
 } // namespace
 
-// Guards against two operators' changes of one base both taking effect, and
-// against a loser that is not told who won.
+// Two operators change the same base version. Guards against both changes
+// taking effect, and against a verdict that does not name the winner.
 TEST_CASE("the first of two racing changes counts", "[control]") {
   Replay r;
   REQUIRE(r.change(fleetSection()) == Counted);
@@ -51,8 +52,8 @@
   CHECK(r.State.configuration()->service("b") == nullptr);
 }
 
-// Guards against an append that is repeated after a lost response taking effect
-// twice, and against the repeat hiding the verdict on the first.
+// An append is repeated after its response was lost. Guards against the record
+// taking effect twice, and against the repeat replacing the first verdict.
 TEST_CASE("a record id counts once", "[control]") {
   Replay r;
   REQUIRE(r.change(fleetSection()) == Counted);
@@ -65,8 +66,8 @@
   CHECK(r.State.verdict(out.Id)->Kind == Counted);
 }
 
-// Guards against a gap being skipped, an old record being replayed, and a
-// damaged record stopping the replay.
+// Guards against a gap in the offsets being skipped, a record being applied
+// again, and a damaged record stopping the replay.
 TEST_CASE("records apply once, in offset order", "[control]") {
   Replay r;
   const auto first = r.Log.append(ChangeRecord{{}, {fleetSection()}});
@@ -79,7 +80,8 @@
   CHECK(raw(r.State.version()) == 1);
 }
 
-// Guards against a driver that was paused past its lease still moving traffic.
+// Guards against a lease holder that was paused until another daemon took the
+// lease and that still changes the share.
 TEST_CASE("a paused lease holder changes nothing", "[control]") {
   Replay r;
   const auto move = r.startMove();
@@ -104,14 +106,14 @@
   CHECK(r.add(end(oldEpoch, MoveResult::Done)) == stale);
   CHECK(r.State.move("s")->ShareBasisPoints == 500);
   CHECK(r.State.lease("s")->Holder == fresh);
-  // Only reduces exposure, so it needs no lease.
+  // A take-back only removes traffic from the new version and needs no lease.
   CHECK(r.add(end(Epoch::None, MoveResult::TakenBack)) == Counted);
   CHECK(r.State.move("s")->ShareBasisPoints == 0);
   CHECK(r.add(MoveStepRecord{"s", move, epoch, 500}) == VerdictKind::Unknown);
 }
 
-// Guards against a finished move falling back to the old version, and against
-// an override that outlives the operator's next choice.
+// Guards against traffic returning to the old version after a completed move,
+// and against the override remaining after an operator sets another version.
 TEST_CASE("a done move makes its version effective", "[control]") {
   Replay r;
   const auto move = r.startMove();
@@ -134,7 +136,7 @@
   CHECK(r.State.effectiveVersion("s") == "v3");
 }
 
-// Guards against a move that goes on although the operators withdrew it.
+// Guards against a move that continues after operators removed or replaced it.
 TEST_CASE("a change supersedes a running move", "[control]") {
   Replay r;
   const auto move = r.startMove();
@@ -159,7 +161,7 @@
   }
 }
 
-// Guards against an incomplete or damaged batch being applied in part.
+// Guards against a change being applied with missing or mismatching parts.
 TEST_CASE("a multi-record change needs all of its parts", "[control]") {
   Replay r;
   const auto id = r.Log.freshId();
@@ -184,7 +186,7 @@
   CHECK(r.State.configuration()->service("s") != nullptr);
 }
 
-// Guards against parts without commits growing without bound.
+// Guards against unbounded memory use by parts that are never committed.
 TEST_CASE("the oldest pending change is dropped", "[control]") {
   Replay r;
   const auto first = r.Log.freshId();
@@ -198,7 +200,7 @@
         VerdictKind::Incomplete);
 }
 
-// Guards against routes to services or versions that proxies do not have.
+// Guards against a configuration that routes to undefined services or versions.
 TEST_CASE("a change that breaks references does not count", "[control]") {
   Replay r;
   auto s = makeService("s");
@@ -210,8 +212,8 @@
   CHECK(r.State.version() == Version::None);
 }
 
-// Guards against a text that was edited for another reason putting a data
-// centre back that a record took out.
+// Guards against an unrelated change of the configuration putting a data centre
+// back in service that a record took out.
 TEST_CASE("only a changed listing sets a data centre", "[control]") {
   Replay r;
   REQUIRE(r.change(fleetSection()) == Counted);
@@ -225,7 +227,7 @@
   CHECK(r.add(DataCentreRecord{"nowhere", true}) == VerdictKind::Unknown);
 }
 
-// Guards against two daemons holding the claim of one key.
+// Guards against two daemons that both hold the claim of one key.
 TEST_CASE("the first claim of a key counts", "[control]") {
   Replay r;
   const KeyHash a{1, 1};
@@ -239,8 +241,9 @@
   CHECK_FALSE(r.State.claim({3, 3}));
 }
 
-// Guards against unbounded claims, and against an eviction that differs between
-// a daemon that replayed and one that started from a snapshot.
+// Guards against unbounded memory use by claims, and against evictions that
+// differ between a daemon that replayed the log and one that started from a
+// snapshot.
 TEST_CASE("the oldest claims are dropped", "[control]") {
   ClaimHistory claims;
   const auto holder = daemonId(1);
@@ -258,8 +261,8 @@
   CHECK(copy.digest() == claims.digest());
 }
 
-// Guards against a snapshot that loses part of the state, and against one that
-// is damaged or cut off being used.
+// Guards against a snapshot that omits part of the state, and against the use
+// of a damaged or truncated one.
 TEST_CASE("snapshots carry the whole state", "[control]") {
   Replay r;
   const auto move = r.startMove();
@@ -287,13 +290,13 @@
     auto damaged = bytes;
     damaged[n] = static_cast<char>(damaged[n] ^ 0x20);
     auto state = ControlState::decodeSnapshot(damaged);
-    // Padding may differ; a state that is accepted may not.
+    // A flipped bit in padding is accepted; the decoded state must not differ.
     accepted += state && state->encodeSnapshot() != bytes ? 1 : 0;
   }
   CHECK(accepted == 0);
 }
 
-// Guards against a snapshot in the log of which a part is missing or replaced.
+// Guards against the use of a snapshot with a missing or modified part.
 TEST_CASE("a partial snapshot in the log is rejected", "[control]") {
   Replay r;
   for (std::uint64_t n = 0; n < 40; ++n) {
