--- a/tests/unit/log_builder.h
+++ b/tests/unit/log_builder.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Builds encoded records for tests of the replay.
+ * Builds logs of encoded records for tests.
  */
 #ifndef CHIVEFOLD_TESTS_UNIT_LOG_BUILDER_H
 #define CHIVEFOLD_TESTS_UNIT_LOG_BUILDER_H
@@ -14,7 +14,7 @@
 
 namespace chivefold {
 
-/** A log in memory; offsets begin at 1. */
+/** An in-memory log; offsets start at 1. */
 class LogBuilder {
 public:
   /** Appends a record with a fresh id. @return its entry. */
@@ -52,7 +52,7 @@
   return s;
 }
 
-/** @return a service with versions v1 and v2 that runs v1. */
+/** @return a service with versions v1 and v2, of which v1 is current. */
 inline Service makeService(const std::string &name) {
   Service s;
   s.Name = name;
@@ -67,7 +67,7 @@
   return s;
 }
 
-/** @return the service with a requested move to v2. */
+/** @return makeService(name) with a requested move to v2. */
 inline Service movingService(const std::string &name, int deadlineMs = 1000) {
   auto s = makeService(name);
   s.Move = MoveRequest{"v2", UtcTime(std::chrono::milliseconds(deadlineMs))};
