--- a/tests/unit/move_controller_test.cpp
+++ b/tests/unit/move_controller_test.cpp
@@ -11,7 +11,8 @@
 
 TimePoint at(double second) { return MoveSimulation::at(second); }
 
-/** A view in which nothing hinders the next step. */
+/** @return a view in which nothing prevents the next step but time and
+ * evidence. */
 MoveView freshView(double second, std::uint32_t share) {
   MoveView view;
   view.Move = LogOffset(7);
@@ -51,7 +52,8 @@
   });
 }
 
-/** Runs a behaviour at several seeds and counts the moves that got done. */
+/** Simulates a behaviour with several seeds. @return how many of the moves
+ * completed. */
 unsigned countDone(const Behaviour &behaviour, double callsPerSecond,
                    unsigned runs) {
   unsigned done = 0;
@@ -67,8 +69,8 @@
 
 } // namespace
 
-// Guards against a share that rises on statistics or a log position from the
-// past, while the version may have failed since.
+// Guards against a share that is raised on outdated statistics or an outdated
+// log position, since the version may have failed in the meantime.
 TEST_CASE("a stale view raises no share", "[move]") {
   for (const bool staleLog : {true, false}) {
     MoveController controller{MoveSettings()};
@@ -85,8 +87,8 @@
   }
 }
 
-// Guards against a holder that wakes up after its lease expired and raises the
-// share before it has seen that the lease is still its own.
+// Guards against a holder that resumes after its lease timed out and raises the
+// share before it has confirmed that it still holds the lease.
 TEST_CASE("a paused holder renews before it raises", "[move]") {
   MoveController controller{MoveSettings()};
   tick(controller, 0, freshView(0, 500));
@@ -103,8 +105,8 @@
   CHECK(tick(controller, 301, view).empty());
 }
 
-// Guards against candidates that take the lease together, or from a holder that
-// only could not write during an outage.
+// Guards against several candidates taking the lease at the same time, and
+// against taking it from a holder that could not renew it in a log outage.
 TEST_CASE("candidates wait for silence and for their rank", "[move]") {
   const auto takenAt = [](unsigned rank, bool outage) {
     MoveController controller{MoveSettings()};
@@ -126,8 +128,8 @@
   CHECK(takenAt(0, true) == 90);
 }
 
-// Guards against an outage that raises exposure, that keeps a move open past
-// its deadline, or that hinders the take-back.
+// Guards against a log outage during which the share rises, the move stays open
+// past its deadline, or the take-back is prevented.
 TEST_CASE("an outage past the deadline takes the move back", "[move]") {
   const auto end = simulate(
       {3, 10, 5, 600, {}, FixedSeed},
@@ -152,8 +154,8 @@
   CHECK(tick(controller, 701, view).empty());
 }
 
-// Guards against a catch-up to the full share without observation when an
-// outage ends just before the deadline.
+// A log outage ends shortly before the deadline. Guards against raising the
+// share to 100% without observing the version at each step.
 TEST_CASE("little time left does not skip the observation", "[move]") {
   const auto end = simulate({3, 10, 20, 600, {}, FixedSeed},
                             [](double second, MoveView &view) {
@@ -163,9 +165,9 @@
   CHECK(end.MaxShare < 10000);
 }
 
-// Guards against good versions that miss their deadline because few calls give
+// Guards against good versions that miss the deadline: because few calls give
 // little evidence, because of noise, or because a dependency of both versions
-// fails for a while.
+// fails temporarily.
 TEST_CASE("good versions finish by the deadline", "[move]") {
   CHECK(countDone({}, 2, 40) >= 39);
   CHECK(countDone({}, 20, 10) == 10);
@@ -174,8 +176,9 @@
   CHECK(countDone(outage, 5, 20) >= 18);
 }
 
-// Guards against bad versions that stay: from the start, after the 50% step
-// with a good past, on one route, or by latency alone.
+// Guards against bad versions that are not taken back: with errors from the
+// start, with errors only after the 50% step, with errors on one route, or
+// with higher latency alone.
 TEST_CASE("bad versions are taken back", "[move]") {
   CHECK(countDone({"errors", 0.2, 1, 0, -1}, 2, 10) == 0);
   CHECK(countDone({"late", 0.2, 1, 20, -1}, 5, 10) == 0);
@@ -183,8 +186,8 @@
   CHECK(countDone({"latency", 0.005, 2, 0, -1}, 5, 10) == 0);
 }
 
-// Guards against a late fault that is found only after as many calls as the
-// version has served well.
+// Guards against detection of a late fault taking as many calls as the version
+// had served without errors.
 TEST_CASE("a good past does not hide a late fault", "[move]") {
   SequentialTest test{SequentialTestSettings()};
   KindCounts counts{"/a", "a", 100000, 500, 0, 0, 0};
@@ -196,8 +199,8 @@
   CHECK(test.assess().Result == TestVerdict::Bad);
 }
 
-// Guards against counts that shrink, since the gate restarted, being taken for
-// a huge number of calls.
+// Counts decrease when a gate restarts. Guards against the difference being
+// read as a huge number of calls.
 TEST_CASE("shrinking counts rebase", "[move]") {
   SequentialTest test{SequentialTestSettings()};
   test.update({}, {{"/a", "a", 1000, 5, 0, 0, 0}});
@@ -206,8 +209,8 @@
   CHECK(test.callsSinceRestart() == Approx(1000));
 }
 
-// Guards against a fault on a rare route that drowns in the good calls of the
-// others.
+// Guards against a fault on a route with few calls being masked by the
+// successful calls on other routes.
 TEST_CASE("one bad route is found among many good calls", "[move]") {
   SequentialTest test{SequentialTestSettings()};
   const KindCounts often{"/often", "a", 10000, 50, 0, 0, 0};
