--- a/tests/unit/record_test.cpp
+++ b/tests/unit/record_test.cpp
@@ -170,7 +170,7 @@
 
 } // namespace
 
-// Guards against a member that is lost or changed on its way through the log.
+// Guards against a field that is lost or changed by encoding and decoding.
 TEST_CASE("records of every kind survive encoding", "[record]") {
   for (std::uint32_t kind = 0; kind < Kinds; ++kind) {
     CHECK(rc::check("round trip of kind " + std::to_string(kind), [kind] {
@@ -186,8 +186,8 @@
   }
 }
 
-// Guards against reads outside of damaged records, which the sanitizers report,
-// and against damaged sizes that pass.
+// Guards against out-of-bounds reads of damaged records, which the sanitizers
+// report, and against truncated or oversized records being accepted.
 TEST_CASE("damaged records never crash", "[record]") {
   CHECK(rc::check("truncated and flipped records", [] {
     const Record r{recordId(), text(), body(below(Kinds))};
@@ -207,7 +207,8 @@
   CHECK_FALSE(decodeRecord(std::string(MaxRecordBytes + 1, '\0')).hasValue());
 }
 
-// Guards against values that the encoding can carry and readers must not see.
+// Guards against decoding values that the encoding can represent but that are
+// out of range.
 TEST_CASE("records with impossible values are refused", "[record]") {
   const auto refused = [](RecordBody body) {
     return !decodeRecord(encodeRecord({{}, "w", std::move(body)}));
@@ -233,8 +234,8 @@
   }
 }
 
-// Guards against parts that exceed a record, lose a section, or carry a digest
-// that readers cannot reproduce.
+// Guards against parts that exceed the record size, a lost section, and a
+// digest that readers cannot reproduce.
 TEST_CASE("large changes are split", "[record]") {
   const auto small =
       makeChange(Version{7}, {largeService(0, 9)}, countingIds(), "w");
@@ -273,12 +274,13 @@
   CHECK(tooLarge.reason().Code == ErrorCode::TooLarge);
 }
 
-// The linter reports a leak inside of FlatBuffers' buffer growth for code that
-// builds buffers by hand, which the sanitizers do not see.
+// The static analyzer reports a leak in FlatBuffers' buffer growth for code
+// that builds buffers directly. It is a false positive: the sanitizers find
+// none.
 #ifndef __clang_analyzer__
 namespace {
 
-/** @return a record with a change as its body. */
+/** @return an encoded record with @p change as its body. */
 std::string finish(flatbuffers::FlatBufferBuilder &fbb,
                    flatbuffers::Offset<void> change) {
   const auto id = fbb.CreateVector(std::vector<std::uint8_t>(16));
@@ -289,7 +291,8 @@
 
 } // namespace
 
-// Guards against a small record that takes gigabytes once unpacked.
+// Guards against a small record that refers to one string many times and takes
+// gigabytes of memory once unpacked.
 TEST_CASE("records with shared content are refused", "[record]") {
   const auto write = [](std::size_t references) {
     flatbuffers::FlatBufferBuilder fbb;
@@ -310,8 +313,8 @@
   CHECK_FALSE(decodeRecord(bytes).hasValue());
 }
 
-// Guards against a record that states a kind and has no body, which the
-// FlatBuffers verifier accepts.
+// Guards against a record with a body type but no body, which the FlatBuffers
+// verifier accepts.
 TEST_CASE("records without a body are refused", "[record]") {
   flatbuffers::FlatBufferBuilder fbb;
   CHECK_FALSE(decodeRecord(finish(fbb, 0)).hasValue());
