--- a/tests/unit/snapshot_schedule_test.cpp
+++ b/tests/unit/snapshot_schedule_test.cpp
@@ -15,7 +15,7 @@
 constexpr TimePoint Start{std::chrono::hours(1)};
 constexpr Duration Second = std::chrono::seconds(1);
 
-/** One candidate that applies a log which retains the newest records. */
+/** A candidate that applies a log of limited retention. */
 struct Candidate {
   explicit Candidate(std::size_t rank) : Place{rank, 4} {}
 
@@ -47,7 +47,7 @@
   }
 }
 
-/** Makes a state of more than one part. */
+/** Appends claims, so that the snapshot of the state needs several parts. */
 void fillLarge(LogBuilder &log) {
   for (std::uint64_t n = 0; n < 4; ++n) {
     std::vector<KeyHash> keys(MaxClaimKeys);
@@ -71,7 +71,7 @@
   }
 }
 
-/** Scans the log from @p first on. */
+/** Recovers the state from a log whose oldest retained offset is @p first. */
 Result<ControlState> recovered(const LogBuilder &log, std::size_t first) {
   SnapshotScan scan(LogOffset{first});
   const LogOffset tail{log.Entries.size() + 1};
@@ -87,8 +87,8 @@
 
 } // namespace
 
-// Guards against snapshots for every few records, and against a log that is
-// trimmed before there is one.
+// Guards against snapshots after every few records, and against records being
+// trimmed before a snapshot includes them.
 TEST_CASE("snapshots are due neither too early nor too late", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -98,7 +98,7 @@
     fill(log, 1);
     c.follow(log, 60, Start);
     const auto size = log.Entries.size();
-    // Whatever the log retains must always give the state.
+    // The state must always be recoverable from the retained records.
     REQUIRE(raw(c.Schedule.newest().AsOf) + 1 >=
             (size > 60 ? size - 60 + 1 : 1));
     if (c.due(Start)) {
@@ -113,8 +113,8 @@
   CHECK(snapshots <= 40);
 }
 
-// Guards against a quiet log whose snapshot expires, and against snapshots that
-// an unchanged log gets all the time.
+// Guards against the expiry of the snapshot in a log with few appends, and
+// against repeated snapshots of an unchanged log.
 TEST_CASE("snapshots are renewed by age", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -125,15 +125,15 @@
   c.follow(log, 100, Start);
   CHECK_FALSE(c.due(Start + Limits::MaxAge - Second));
   CHECK(c.due(Start + Limits::MaxAge));
-  // Expiry by time, without new records.
+  // The log expires records by time and gets no new ones.
   c.Schedule.logRead(LogOffset{21}, LogOffset{22}, Start + Second);
   CHECK_FALSE(c.due(Start + Second));
   CHECK(c.due(Start + Limits::MinRenewalAge));
 }
 
-// Guards against a writer that dies half way and is not replaced, and against
-// candidates that write although another one is at work or the log has a
-// snapshot that they did not see.
+// Guards against a writer that fails before its last part and is not replaced,
+// and against candidates that write while another one is writing, or while the
+// log has a snapshot that they have not seen.
 TEST_CASE("the next candidate takes over", "[snapshot]") {
   LogBuilder log;
   Candidate first(0);
@@ -173,7 +173,7 @@
   CHECK(state->applied() == second.Schedule.newest().AsOf);
 }
 
-// Guards against a failed attempt that is repeated without pause.
+// Guards against a failed attempt that is repeated without a delay.
 TEST_CASE("a failed attempt is repeated after a pause", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -185,8 +185,9 @@
   CHECK(c.due(Start + Limits::TakeoverDelay));
 }
 
-// Guards against two writers whose snapshots change the state or hide each
-// other, and against a daemon that recovers another state than it lost.
+// Two writers append snapshots at the same time. Guards against snapshots that
+// change the state or prevent each other's assembly, and against recovery of a
+// different state.
 TEST_CASE("a second snapshot is harmless", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -213,8 +214,8 @@
   CHECK(state->digest() == c.State.digest());
 }
 
-// Guards against an older snapshot where a newer one is retained, and against
-// one from before the retained records, after which records are missing.
+// Guards against the use of an older snapshot although a newer one is retained,
+// and of one that is too old for the retained records to follow without a gap.
 TEST_CASE("the newest snapshot that continues is used", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -236,8 +237,9 @@
   CHECK_FALSE(recovered(log, 32));
 }
 
-// Guards against a log that stays without the state after an outage in which
-// everything expired, and against a snapshot that leaves a gap.
+// All records expire during an outage. Guards against a log from which the
+// state stays unrecoverable, and against a snapshot that leaves a gap in the
+// records.
 TEST_CASE("a snapshot is due after an outage", "[snapshot]") {
   LogBuilder log;
   Candidate c(0);
@@ -252,8 +254,8 @@
   CHECK_FALSE(c.due(Start));
 }
 
-// Guards against a daemon that serves an unknown state, or says nothing about
-// why it waits, and against an installed snapshot that is older.
+// Guards against a daemon that reports ready without a state or gives no reason
+// why it is not ready, and against installing an outdated snapshot.
 TEST_CASE("a daemon without snapshot stays not ready", "[snapshot]") {
   ControlState state;
   MemberTable members(Member{}, 1);
@@ -273,7 +275,7 @@
   CHECK_FALSE(records.installSnapshot(old));
 }
 
-// Guards against daemons that disagree on who writes first.
+// Guards against daemons that compute conflicting ranks.
 TEST_CASE("candidates have distinct ranks", "[snapshot]") {
   std::set<std::size_t> ranks;
   std::size_t candidates = 0;
