--- a/src/core/change.cpp
+++ b/src/core/change.cpp
@@ -3,7 +3,8 @@
 namespace chivefold {
 namespace {
 
-/** @return how many sections from @p first fit one part; 0 if none does. */
+/** @return how many sections starting at @p first fit one part record; 0 if
+ * even one section is too large. */
 std::size_t fittingSections(const std::vector<Section> &sections,
                             std::size_t first, const std::string &writer) {
   const auto fits = [&](std::size_t n) {
@@ -15,20 +16,20 @@
             {}, MaxChangeParts, {from, from + static_cast<std::ptrdiff_t>(n)}}};
     return encodeRecord(r).size() <= MaxRecordBytes;
   };
-  // Doubling, then bisection, so that a part costs few encodings.
+  // Doubling and then bisection, to need few trial encodings for each part.
   const auto rest = sections.size() - first;
-  std::size_t good = 0;
-  std::size_t bad = 1;
-  while (bad <= rest && fits(bad)) {
-    good = bad;
-    bad *= 2;
+  std::size_t fitting = 0;
+  std::size_t tooMany = 1;
+  while (tooMany <= rest && fits(tooMany)) {
+    fitting = tooMany;
+    tooMany *= 2;
   }
-  bad = std::min(bad, rest + 1);
-  while (bad - good > 1) {
-    const auto n = good + (bad - good) / 2;
-    (fits(n) ? good : bad) = n;
+  tooMany = std::min(tooMany, rest + 1);
+  while (tooMany - fitting > 1) {
+    const auto n = fitting + (tooMany - fitting) / 2;
+    (fits(n) ? fitting : tooMany) = n;
   }
-  return good;
+  return fitting;
 }
 
 } // namespace
@@ -41,19 +42,19 @@
                                        std::vector<Section> sections,
                                        const std::function<RecordId()> &newId,
                                        const std::string &writer) {
-  Record whole{newId(), writer, ChangeRecord{base, sections}};
-  if (encodeRecord(whole).size() <= MaxRecordBytes) {
-    return std::vector<Record>{std::move(whole)};
+  Record single{newId(), writer, ChangeRecord{base, sections}};
+  if (encodeRecord(single).size() <= MaxRecordBytes) {
+    return std::vector<Record>{std::move(single)};
   }
-  const auto changeId = whole.Id;
+  const auto changeId = single.Id;
   std::vector<Record> records;
   auto digest = InitialChangeDigest;
   for (std::size_t first = 0; first < sections.size();) {
     const auto n = fittingSections(sections, first, writer);
     if (n == 0 || records.size() == MaxChangeParts) {
       return Reason{ErrorCode::TooLarge,
-                    n == 0 ? "one section does not fit a record"
-                           : "the change needs too many records"};
+                    n == 0 ? "a section exceeds the maximum record size"
+                           : "the change exceeds the maximum number of parts"};
     }
     const auto from = sections.begin() + static_cast<std::ptrdiff_t>(first);
     const auto index = static_cast<std::uint32_t>(records.size());
@@ -65,8 +66,8 @@
     first += n;
   }
   const auto count = static_cast<std::uint32_t>(records.size());
-  // The commit has the identity of the change, so a lost answer to the change
-  // is resolved by one id in both cases.
+  // The commit reuses the id of the change: after a lost response to an append,
+  // the same id then gives the verdict for a single record and a split change.
   records.push_back(
       {changeId, writer, ChangeCommitRecord{changeId, base, count, digest}});
   return records;
--- a/src/core/control_state_change.cpp
+++ b/src/core/control_state_change.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration and of what follows from it.
+// Applies configuration changes and their effects on moves and data centres.
 #include "chivefold/core/control_state.h"
 
 #include <algorithm>
@@ -20,17 +20,21 @@
           VersionWriter};
 }
 
-Verdict ControlState::on(const Place &at, const ChangeRecord &r) {
-  return r.Base == CurrentVersion ? change(at, r.Sections) : lostRace();
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangeRecord &r) {
+  return r.Base == CurrentVersion ? applyChange(context, r.Sections)
+                                  : lostRace();
 }
 
-Verdict ControlState::on(const Place &at, const ChangePartRecord &r) {
-  const bool added =
-      addPart(r.ChangeId, r.Index, {at.Offset, std::string(at.Bytes)});
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangePartRecord &r) {
+  const bool added = addPart(r.ChangeId, r.Index,
+                             {context.Offset, std::string(context.Bytes)});
   return Verdict(added ? VerdictKind::Incomplete : VerdictKind::DuplicateId);
 }
 
-Verdict ControlState::on(const Place &at, const ChangeCommitRecord &r) {
+Verdict ControlState::applyBody(const RecordContext &context,
+                                const ChangeCommitRecord &r) {
   if (r.Base != CurrentVersion) {
     dropPending(r.ChangeId);
     return lostRace();
@@ -39,7 +43,8 @@
       std::find_if(Pending.begin(), Pending.end(), [&](const PendingChange &p) {
         return p.ChangeId == r.ChangeId;
       });
-  // Keys are distinct, so size and last index imply that no part is missing.
+  // Part indexes are distinct, so the number of parts and the last index
+  // together imply that no part is missing.
   if (r.PartCount == 0 || it == Pending.end() ||
       it->Parts.size() != r.PartCount ||
       it->Parts.rbegin()->first != r.PartCount - 1) {
@@ -58,7 +63,7 @@
     return Verdict(VerdictKind::DigestMismatch);
   }
   dropPending(r.ChangeId);
-  return change(at, sections);
+  return applyChange(context, sections);
 }
 
 bool ControlState::addPart(const RecordId &changeId, std::uint32_t index,
@@ -98,24 +103,24 @@
   Pending.erase(it);
 }
 
-Verdict ControlState::change(const Place &at,
-                             const std::vector<Section> &sections) {
+Verdict ControlState::applyChange(const RecordContext &context,
+                                  const std::vector<Section> &sections) {
   auto next = std::make_shared<Configuration>(*Config);
   applySections(*next, sections);
-  if (!checkClosure(*next) || !overridesStayValid(*next)) {
+  if (!validateConfiguration(*next) || !overridesStayValid(*next)) {
     return Verdict(VerdictKind::BrokenReference);
   }
-  changeMoves(at.Offset, *next);
-  changeDataCentres(at.Offset, *next);
+  updateMoves(context.Offset, *next);
+  updateDataCentres(context.Offset, *next);
   setConfiguration(std::move(next));
-  CurrentVersion = at.Offset;
+  CurrentVersion = context.Offset;
   VersionWriter =
-      at.Source.Writer.substr(0, ControlStateLimits::MaxWriterBytes);
+      context.Source.Writer.substr(0, ControlStateLimits::MaxWriterBytes);
   return {};
 }
 
-// A version that a finished move made current carries all traffic, so it must
-// stay listed until the text names another current version.
+// A version that a completed move made current serves all traffic. It must
+// stay listed until the configuration names another current version.
 bool ControlState::overridesStayValid(const Configuration &next) const {
   return std::all_of(Overrides.begin(), Overrides.end(), [&](const auto &it) {
     const auto *before = Config->service(it.first);
@@ -126,7 +131,7 @@
   });
 }
 
-void ControlState::changeMoves(LogOffset at, const Configuration &next) {
+void ControlState::updateMoves(LogOffset at, const Configuration &next) {
   for (const auto &it : Config->Services) {
     if (next.Services.count(it.first) != 0) {
       continue;
@@ -139,12 +144,12 @@
     }
   }
   for (const auto &it : next.Services) {
-    changeMove(at, Config->service(it.first), it.second);
+    updateMove(at, Config->service(it.first), it.second);
   }
-  boundMoves();
+  evictOldestMoves();
 }
 
-void ControlState::changeMove(LogOffset at, const Service *before,
+void ControlState::updateMove(LogOffset at, const Service *before,
                               const Service &after) {
   const bool requested = before != nullptr && before->Move == after.Move;
   const bool currentChanged =
@@ -174,7 +179,7 @@
   Moves[after.Name] = std::move(m);
 }
 
-void ControlState::boundMoves() {
+void ControlState::evictOldestMoves() {
   while (Moves.size() > ControlStateLimits::MaxMoves) {
     const auto oldest = std::min_element(
         Moves.begin(), Moves.end(), [](const auto &a, const auto &b) {
@@ -185,7 +190,7 @@
   }
 }
 
-void ControlState::changeDataCentres(LogOffset at, const Configuration &next) {
+void ControlState::updateDataCentres(LogOffset at, const Configuration &next) {
   const auto &before = Config->FleetSettings;
   const auto &after = next.FleetSettings;
   for (auto it = DataCentres.begin(); it != DataCentres.end();) {
--- a/src/core/control_state_snapshot.cpp
+++ b/src/core/control_state_snapshot.cpp
@@ -1,4 +1,4 @@
-// Encoding of the control state as a ControlSnapshot buffer.
+// Encodes the control state as a ControlSnapshot buffer, and decodes it.
 #include "chivefold/core/control_state.h"
 
 #include "record_generated.h"
@@ -72,18 +72,18 @@
   return m;
 }
 
-/** Numbers equal values, so that each is encoded once. */
-template <class Key> class Numbering {
+/** Gives equal values the same index, so that each is encoded only once. */
+template <class Key> class Interner {
 public:
-  /** @return the number of @p key and whether it is new. */
-  std::pair<std::uint32_t, bool> number(const Key &key) {
+  /** @return the index of @p key and whether it is new. */
+  std::pair<std::uint32_t, bool> intern(const Key &key) {
     const auto it =
-        Numbers.emplace(key, static_cast<std::uint32_t>(Numbers.size()));
+        Indexes.emplace(key, static_cast<std::uint32_t>(Indexes.size()));
     return {it.first->second, it.second};
   }
 
 private:
-  std::map<Key, std::uint32_t> Numbers;
+  std::map<Key, std::uint32_t> Indexes;
 };
 
 std::uint64_t word(const RecordId &id, std::size_t at) {
@@ -105,11 +105,12 @@
 
 } // namespace
 
-/** Reads and writes the private state of ControlState. */
+/** Converts the private state of ControlState to and from its wire type. */
 class ControlSnapshotCodec {
 public:
   static std::string encode(const ControlState &s);
-  /** @return whether @p w is a valid state, then held by @p s. */
+  /** Decodes @p w into the default-constructed @p s. @return whether @p w is
+   * valid; if not, @p s must be discarded. */
   static bool decode(const wire::ControlSnapshotT &w, ControlState &s);
 
 private:
@@ -161,9 +162,9 @@
 
 void ControlSnapshotCodec::putClaims(const ControlState &s,
                                      wire::ControlSnapshotT &w) {
-  Numbering<std::uint32_t> holders;
+  Interner<std::uint32_t> holders;
   for (const auto &it : s.Claims.entries()) {
-    const auto n = holders.number(it.Holder);
+    const auto n = holders.intern(it.Holder);
     if (n.second) {
       w.claim_holders.push_back(toWire(s.Claims.holder(it)));
     }
@@ -174,9 +175,9 @@
 
 void ControlSnapshotCodec::putVerdicts(const ControlState &s,
                                        wire::ControlSnapshotT &w) {
-  Numbering<std::string> writers;
+  Interner<std::string> writers;
   for (const auto &it : s.Verdicts.entries()) {
-    const auto n = writers.number(it.Value.WinnerWriter);
+    const auto n = writers.intern(it.Value.WinnerWriter);
     if (n.second) {
       w.verdict_writers.push_back(std::make_unique<wire::WriterNameT>());
       w.verdict_writers.back()->name = it.Value.WinnerWriter;
@@ -242,7 +243,7 @@
     }
     applySections(*config, change->Sections);
   }
-  if (!checkClosure(*config)) {
+  if (!validateConfiguration(*config)) {
     return false;
   }
   s.setConfiguration(std::move(config));
@@ -351,7 +352,8 @@
 }
 
 Result<ControlState> ControlState::decodeSnapshot(std::string_view bytes) {
-  // The verifier requires alignment, which a slice of a frame may lack.
+  // The verifier requires aligned data, and a slice of a frame may be
+  // unaligned.
   std::vector<std::uint64_t> aligned((bytes.size() + 7) / 8);
   std::copy(bytes.begin(), bytes.end(),
             reinterpret_cast<char *>(aligned.data()));
@@ -365,7 +367,7 @@
       return state;
     }
   }
-  return Reason{ErrorCode::InvalidRecord, "damaged or partial snapshot"};
+  return Reason{ErrorCode::InvalidRecord, "snapshot is damaged or incomplete"};
 }
 
 } // namespace chivefold
--- a/src/core/record_wire.cpp
+++ b/src/core/record_wire.cpp
@@ -3,35 +3,37 @@
 namespace chivefold {
 namespace {
 
-/** Offset and size field that each string or table takes at least. */
+/** Fewest bytes of a string or table besides its content: the offset that
+ * refers to it and its size field. */
 constexpr std::size_t ReferenceBytes = 8;
 
 using Strings = flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>;
 
-std::size_t bytes(const flatbuffers::String *s) {
+/** The overloads return a lower bound of the encoded size without sharing. */
+std::size_t minBytes(const flatbuffers::String *s) {
   return s == nullptr ? 0 : ReferenceBytes + s->size();
 }
 
-std::size_t bytes(const Strings *list) {
+std::size_t minBytes(const Strings *list) {
   std::size_t n = 0;
   for (flatbuffers::uoffset_t i = 0; list != nullptr && i < list->size(); ++i) {
-    n += bytes(list->Get(i));
+    n += minBytes(list->Get(i));
   }
   return n;
 }
 
-std::size_t bytes(const wire::Service *s) {
+std::size_t minBytes(const wire::Service *s) {
   if (s == nullptr) {
     return 0;
   }
-  auto n = ReferenceBytes + bytes(s->name()) + bytes(s->depends_on()) +
-           bytes(s->versions()) + bytes(s->current_version());
+  auto n = ReferenceBytes + minBytes(s->name()) + minBytes(s->depends_on()) +
+           minBytes(s->versions()) + minBytes(s->current_version());
   const auto *routes = s->routes();
   for (flatbuffers::uoffset_t i = 0; routes != nullptr && i < routes->size();
        ++i) {
     const auto *r = routes->Get(i);
-    n += ReferenceBytes + bytes(r->method()) + bytes(r->path_prefix()) +
-         bytes(r->kind());
+    n += ReferenceBytes + minBytes(r->method()) + minBytes(r->path_prefix()) +
+         minBytes(r->kind());
   }
   return n;
 }
@@ -45,9 +47,11 @@
        sections != nullptr && i < sections->size() && n <= MaxRecordBytes;
        ++i) {
     const auto *s = sections->Get(i);
-    n += ReferenceBytes + bytes(s->service()) + bytes(s->removed_service());
+    n += ReferenceBytes + minBytes(s->service()) +
+         minBytes(s->removed_service());
     if (s->fleet() != nullptr) {
-      n += bytes(s->fleet()->data_centres()) + bytes(s->fleet()->taken_out());
+      n += minBytes(s->fleet()->data_centres()) +
+           minBytes(s->fleet()->taken_out());
     }
   }
   return n;
@@ -125,11 +129,11 @@
               service.limits->queue, service.limits->cold_slots};
   for (const auto &it : service.routes) {
     if (!it) {
-      return invalidRecord("route without content");
+      return invalidRecord("route is null");
     }
-    // Written so that a value that is not a number is refused too.
+    // The negated form also rejects NaN.
     if (!(it->objective > 0 && it->objective < 1)) {
-      return invalidRecord("objective outside of 0 to 1");
+      return invalidRecord("objective is not between 0 and 1");
     }
     s.Routes.push_back({it->method, it->path_prefix, it->kind, it->repeatable,
                         it->worth, it->timeout_ms, it->objective});
@@ -144,14 +148,14 @@
 
 Result<Address> fromWire(const wire::AddressT *address) {
   if (address == nullptr || address->ip.empty()) {
-    return invalidRecord("record without address");
+    return invalidRecord("record without peer address");
   }
   return Address{address->ip, address->port};
 }
 
 Result<DaemonId> fromWire(const wire::DaemonIdT *id) {
   if (id == nullptr) {
-    return invalidRecord("record without daemon");
+    return invalidRecord("record without daemon id");
   }
   const auto peer = fromWire(id->peer.get());
   if (!peer) {
