--- a/include/chivefold/core/call_policy.h
+++ b/include/chivefold/core/call_policy.h
@@ -41,10 +41,10 @@
   /** A call was answered without a server error. */
   void earn();
   /** @return whether a retry may be made; if so it is taken. */
-  bool take(TimePoint now);
+  bool tryAcquire(TimePoint now);
 
 private:
-  RateLimit Tokens;
+  RateLimiter Tokens;
 };
 
 /** What the policy must know of a call. */
--- a/include/chivefold/core/rate_limit.h
+++ b/include/chivefold/core/rate_limit.h
@@ -10,14 +10,14 @@
 namespace chivefold {
 
 /** Token bucket, full at the start. Not thread-safe. */
-class RateLimit {
+class RateLimiter {
 public:
   /** @param perSecond tokens gained a second. @param burst tokens kept at
    * most. */
-  RateLimit(double perSecond, double burst, TimePoint now);
+  RateLimiter(double perSecond, double burst, TimePoint now);
 
   /** @return whether it may be done now; if so a token is taken. */
-  bool take(TimePoint now);
+  bool tryAcquire(TimePoint now);
 
   /** Adds tokens, up to the burst. */
   void add(double tokens);
--- a/include/chivefold/daemon/poison_service.h
+++ b/include/chivefold/daemon/poison_service.h
@@ -75,7 +75,7 @@
   PeerNetwork &Network;
   Peers RandomPeers;
   PoisonTable Table;
-  RateLimit Spreads;
+  RateLimiter Spreads;
   Logger Lines{"poison"};
 };
 
--- a/src/core/call_policy.cpp
+++ b/src/core/call_policy.cpp
@@ -15,7 +15,7 @@
 
 void RetryTokens::earn() { Tokens.add(PerAnswer); }
 
-bool RetryTokens::take(TimePoint now) { return Tokens.take(now); }
+bool RetryTokens::tryAcquire(TimePoint now) { return Tokens.tryAcquire(now); }
 
 CallPolicy::CallPolicy(const CallTerms &terms, RetryTokens &tokens)
     : Terms(terms), Tokens(tokens) {
@@ -79,7 +79,7 @@
 
 CallDecision CallPolicy::retry(const CallEvent &event, TimePoint now) {
   if (Attempts >= MaxAttempts || Terms.RetryBudget == 0 ||
-      now + MinAttemptTime > Terms.Deadline || !Tokens.take(now)) {
+      now + MinAttemptTime > Terms.Deadline || !Tokens.tryAcquire(now)) {
     return fail(event);
   }
   --Terms.RetryBudget;
--- a/src/core/rate_limit.cpp
+++ b/src/core/rate_limit.cpp
@@ -4,10 +4,10 @@
 
 namespace chivefold {
 
-RateLimit::RateLimit(double perSecond, double burst, TimePoint now)
+RateLimiter::RateLimiter(double perSecond, double burst, TimePoint now)
     : PerSecond(perSecond), Burst(burst), Tokens(burst), RefilledAt(now) {}
 
-bool RateLimit::take(TimePoint now) {
+bool RateLimiter::tryAcquire(TimePoint now) {
   const std::chrono::duration<double> passed = now - RefilledAt;
   Tokens = std::min(Burst, Tokens + PerSecond * std::max(0.0, passed.count()));
   RefilledAt = std::max(RefilledAt, now);
@@ -18,7 +18,7 @@
   return true;
 }
 
-void RateLimit::add(double tokens) {
+void RateLimiter::add(double tokens) {
   Tokens = std::min(Burst, Tokens + tokens);
 }
 
--- a/src/daemon/poison_service.cpp
+++ b/src/daemon/poison_service.cpp
@@ -66,7 +66,7 @@
              {{"digest", static_cast<std::uint64_t>(step.Digest)},
               {"server", toString(step.Server)},
               {"quarantined", refused ? "yes" : "no"}});
-  if (!Spreads.take(Loop.now())) {
+  if (!Spreads.tryAcquire(Loop.now())) {
     Lines.warn("left a step to probes",
                {{"digest", static_cast<std::uint64_t>(step.Digest)}});
     return;
--- a/src/mesh/attempt_policy.cpp
+++ b/src/mesh/attempt_policy.cpp
@@ -53,7 +53,7 @@
   if (!worthRepeating(facts)) {
     return finalStep(facts);
   }
-  if (reachedServer(facts.End) && !tokens.take(now)) {
+  if (reachedServer(facts.End) && !tokens.tryAcquire(now)) {
     return finalStep(facts);
   }
   return NextStep::TryAgain;
--- a/tests/unit/call_policy_test.cpp
+++ b/tests/unit/call_policy_test.cpp
@@ -151,9 +151,9 @@
   int taken = 0;
   for (int n = 0; n < 10000; ++n) {
     tokens.earn();
-    taken += tokens.take(T0) ? 1 : 0;
+    taken += tokens.tryAcquire(T0) ? 1 : 0;
   }
   CHECK(taken <= 10000 / 10 + 10);
   CHECK(taken >= 10000 / 10 - 1);
-  CHECK(tokens.take(T0 + 20s));
+  CHECK(tokens.tryAcquire(T0 + 20s));
 }
