--- a/benchmark/request_path_model.h
+++ b/benchmark/request_path_model.h
@@ -64,7 +64,8 @@
 
 /** One call from a daemon to a service; the front service makes another. */
 struct Hop {
-  Hop(const CallTerms &terms, RetryTokens &tokens) : Policy(terms, tokens) {}
+  Hop(const CallParameters &terms, RetryTokens &tokens)
+      : Policy(terms, tokens) {}
   CallPolicy Policy;
   int Origin = 0;
   bool IsFront = true;
--- a/benchmark/request_path_simulation.h
+++ b/benchmark/request_path_simulation.h
@@ -137,7 +137,7 @@
     }
   }
 
-  void call(int origin, bool isFront, const CallTerms &terms,
+  void call(int origin, bool isFront, const CallParameters &terms,
             std::uint32_t worth, std::function<void(const FinishCall &)> done) {
     auto hop = std::make_shared<Hop>(terms, Hosts[origin]->Tokens);
     hop->Origin = origin;
--- a/fuzz/claim_world.h
+++ b/fuzz/claim_world.h
@@ -505,8 +505,8 @@
   }
 
   void run(std::size_t n, std::size_t caller) {
-    const CallTerms terms{Now + std::chrono::hours(1),
-                          isWrong("repeat-unknown"), DefaultRetryBudget};
+    const CallParameters terms{Now + std::chrono::hours(1),
+                               isWrong("repeat-unknown"), DefaultRetryBudget};
     const auto run = std::make_shared<Run>(
         Run{caller, CallPolicy(terms, All[n]->Tokens), 0, false, {}});
     advance(n, run, CallEvent{});
--- a/include/chivefold/core/call_policy.h
+++ b/include/chivefold/core/call_policy.h
@@ -16,7 +16,7 @@
 namespace chivefold {
 
 /** Least status of an answer with which a server says that it failed. */
-constexpr int FirstServerError = 500;
+constexpr int MinServerErrorStatus = 500;
 
 /** Retries that a call tree starts with, when its caller states none. */
 constexpr std::uint32_t DefaultRetryBudget = 2;
@@ -32,14 +32,14 @@
  */
 class RetryTokens {
 public:
-  static constexpr double PerAnswer = 0.1;
-  static constexpr double Max = 10;
+  static constexpr double TokensPerAnswer = 0.1;
+  static constexpr double MaxTokens = 10;
   /** Tokens gained per second without any call. */
-  static constexpr double PerSecond = 0.1;
+  static constexpr double TokensPerSecond = 0.1;
 
   explicit RetryTokens(TimePoint now);
   /** A call was answered without a server error. */
-  void earn();
+  void recordAnswer();
   /** @return whether a retry may be made; if so it is taken. */
   bool tryAcquire(TimePoint now);
 
@@ -48,7 +48,7 @@
 };
 
 /** What the policy must know of a call. */
-struct CallTerms {
+struct CallParameters {
   TimePoint Deadline{};
   /** Whether running the request twice is harmless. */
   bool Repeatable = false;
@@ -137,7 +137,7 @@
   static constexpr Duration DefaultRetryAfter = std::chrono::milliseconds(200);
 
   /** @param tokens of the daemon; outlives this object. */
-  CallPolicy(const CallTerms &terms, RetryTokens &tokens);
+  CallPolicy(const CallParameters &parameters, RetryTokens &tokens);
 
   /** Takes an event. Events after FinishCall give AwaitEvent. */
   CallDecision next(const CallEvent &event, TimePoint now);
@@ -154,13 +154,13 @@
   FinishCall fail(const CallEvent &event);
   FinishCall finish(FinishCall result);
 
-  CallTerms Terms;
+  CallParameters Parameters;
   RetryTokens &Tokens;
-  std::vector<Address> Tried;
+  std::vector<Address> TriedServers;
   std::uint32_t Attempts = 0;
   /** Status of an answer with a server error; 0 if there was none. */
   std::uint16_t ErrorStatus = 0;
-  bool Sent = false;
+  bool AttemptInFlight = false;
   bool MayHaveRun = false;
   bool Finished = false;
 };
--- a/src/core/call_policy.cpp
+++ b/src/core/call_policy.cpp
@@ -5,21 +5,22 @@
 namespace chivefold {
 namespace {
 
-constexpr std::uint16_t StatusTooMany = 429;
-constexpr std::uint16_t StatusNotRun = 503;
-constexpr std::uint16_t StatusUnknown = 504;
+constexpr std::uint16_t StatusTooManyRequests = 429;
+constexpr std::uint16_t StatusServiceUnavailable = 503;
+constexpr std::uint16_t StatusGatewayTimeout = 504;
 
 } // namespace
 
-RetryTokens::RetryTokens(TimePoint now) : Tokens(PerSecond, Max, now) {}
+RetryTokens::RetryTokens(TimePoint now)
+    : Tokens(TokensPerSecond, MaxTokens, now) {}
 
-void RetryTokens::earn() { Tokens.add(PerAnswer); }
+void RetryTokens::recordAnswer() { Tokens.add(TokensPerAnswer); }
 
 bool RetryTokens::tryAcquire(TimePoint now) { return Tokens.tryAcquire(now); }
 
-CallPolicy::CallPolicy(const CallTerms &terms, RetryTokens &tokens)
-    : Terms(terms), Tokens(tokens) {
-  Terms.RetryBudget = std::min(Terms.RetryBudget, MaxRetryBudget);
+CallPolicy::CallPolicy(const CallParameters &parameters, RetryTokens &tokens)
+    : Parameters(parameters), Tokens(tokens) {
+  Parameters.RetryBudget = std::min(Parameters.RetryBudget, MaxRetryBudget);
 }
 
 CallDecision CallPolicy::next(const CallEvent &event, TimePoint now) {
@@ -28,7 +29,7 @@
   }
   switch (event.Kind) {
   case CallEventKind::Started:
-    if (now + MinAttemptTime > Terms.Deadline) {
+    if (now + MinAttemptTime > Parameters.Deadline) {
       return fail(
           {CallEventKind::Started, {}, {}, 0, ErrorCode::DeadlineExceeded});
     }
@@ -39,50 +40,51 @@
     return fail(event);
   case CallEventKind::RefusedNotRun:
   case CallEventKind::FailedNotSent:
-    Sent = false;
+    AttemptInFlight = false;
     return retry(event, now);
   case CallEventKind::FailedMayHaveRun:
   case CallEventKind::AttemptTimedOut:
-    Sent = false;
+    AttemptInFlight = false;
     MayHaveRun = true;
-    return Terms.Repeatable ? retry(event, now) : fail(event);
+    return Parameters.Repeatable ? retry(event, now) : fail(event);
   case CallEventKind::Answered:
-    Sent = false;
-    if (event.Status < FirstServerError) {
-      Tokens.earn();
+    AttemptInFlight = false;
+    if (event.Status < MinServerErrorStatus) {
+      Tokens.recordAnswer();
       return finish({Outcome::Answered, event.Status, {}, ErrorCode::Ok});
     }
     ErrorStatus = event.Status;
-    return Terms.Repeatable ? retry(event, now) : fail(event);
+    return Parameters.Repeatable ? retry(event, now) : fail(event);
   case CallEventKind::Cancelled:
-    MayHaveRun = MayHaveRun || Sent;
+    MayHaveRun = MayHaveRun || AttemptInFlight;
     return fail(event);
   }
   return AwaitEvent{};
 }
 
 CallDecision CallPolicy::send(const Address &server, TimePoint now) {
-  const auto left = Terms.Deadline - now;
-  if (left < MinAttemptTime) {
+  const auto timeLeft = Parameters.Deadline - now;
+  if (timeLeft < MinAttemptTime) {
     return fail(
         {CallEventKind::Routed, {}, {}, 0, ErrorCode::DeadlineExceeded});
   }
   ++Attempts;
-  Sent = true;
-  Tried.push_back(server);
+  AttemptInFlight = true;
+  TriedServers.push_back(server);
   // Half of the time is kept for another attempt where one may follow.
-  const bool mayRepeat = Terms.Repeatable && Terms.RetryBudget > 0 &&
-                         Attempts < MaxAttempts && left >= 4 * MinAttemptTime;
-  return SendTo{server, now + (mayRepeat ? left / 2 : left), Terms.RetryBudget,
-                Attempts};
+  const bool mayRetry = Parameters.Repeatable && Parameters.RetryBudget > 0 &&
+                        Attempts < MaxAttempts &&
+                        timeLeft >= 4 * MinAttemptTime;
+  return SendTo{server, now + (mayRetry ? timeLeft / 2 : timeLeft),
+                Parameters.RetryBudget, Attempts};
 }
 
 CallDecision CallPolicy::retry(const CallEvent &event, TimePoint now) {
-  if (Attempts >= MaxAttempts || Terms.RetryBudget == 0 ||
-      now + MinAttemptTime > Terms.Deadline || !Tokens.tryAcquire(now)) {
+  if (Attempts >= MaxAttempts || Parameters.RetryBudget == 0 ||
+      now + MinAttemptTime > Parameters.Deadline || !Tokens.tryAcquire(now)) {
     return fail(event);
   }
-  --Terms.RetryBudget;
+  --Parameters.RetryBudget;
   return FindRoute{};
 }
 
@@ -98,13 +100,14 @@
   result.Code = event.Code;
   if (MayHaveRun) {
     result.Result = Outcome::Unknown;
-    result.Status = StatusUnknown;
+    result.Status = StatusGatewayTimeout;
     result.Code = ErrorCode::OutcomeUnknown;
     return finish(result);
   }
   result.Result = Outcome::NotRun;
-  result.Status =
-      event.Code == ErrorCode::Overloaded ? StatusTooMany : StatusNotRun;
+  result.Status = event.Code == ErrorCode::Overloaded
+                      ? StatusTooManyRequests
+                      : StatusServiceUnavailable;
   if (result.Code == ErrorCode::Ok) {
     result.Code = event.Kind == CallEventKind::NotRouted
                       ? ErrorCode::NotReady
@@ -118,8 +121,8 @@
   return result;
 }
 
-const std::vector<Address> &CallPolicy::tried() const { return Tried; }
+const std::vector<Address> &CallPolicy::tried() const { return TriedServers; }
 
-bool CallPolicy::mayHaveRun() const { return MayHaveRun || Sent; }
+bool CallPolicy::mayHaveRun() const { return MayHaveRun || AttemptInFlight; }
 
 } // namespace chivefold
--- a/src/daemon/call_runner.cpp
+++ b/src/daemon/call_runner.cpp
@@ -7,8 +7,8 @@
 struct CallRunner::Call {
   Call(CallMessage message, RetryTokens &tokens)
       : Message(std::move(message)),
-        Policy(CallTerms{Message.Deadline, Message.Repeatable,
-                         Message.RetryBudget},
+        Policy(CallParameters{Message.Deadline, Message.Repeatable,
+                              Message.RetryBudget},
                tokens),
         Digest(digestOf(Message)) {}
 
@@ -123,7 +123,7 @@
     // death counts once.
     Poison.serverDied(call.Server, call.Digest);
   } else if (result.Result == Outcome::Answered &&
-             result.Status < FirstServerError) {
+             result.Status < MinServerErrorStatus) {
     Poison.succeeded(call.Digest);
   }
 }
@@ -203,7 +203,7 @@
     // Says nothing about the server.
     Routes.cancelled(call.Server);
   } else if (result.Result == Outcome::Answered &&
-             result.Status < FirstServerError) {
+             result.Status < MinServerErrorStatus) {
     Routes.answered(call.Server, latency, result.Gate, now);
   } else if (result.Result == Outcome::NotRun &&
              result.Code != ErrorCode::ConnectionFailed) {
--- a/src/daemon/caller_service.cpp
+++ b/src/daemon/caller_service.cpp
@@ -207,8 +207,8 @@
   sample.Service = accepted.Target->Name;
   sample.Kind = accepted.Matched->Kind;
   sample.Result = result.Result;
-  sample.Good =
-      result.Result == Outcome::Answered && result.Status < FirstServerError;
+  sample.Good = result.Result == Outcome::Answered &&
+                result.Status < MinServerErrorStatus;
   sample.Worth = accepted.Matched->Worth;
   const auto now = Loop.now();
   sample.Latency = now - startedAt;
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -110,7 +110,7 @@
       answer.Result == Outcome::Unknown) {
     Poison.serverDied(Own.PeerListen, open.Digest);
   } else if (answer.Result == Outcome::Answered &&
-             answer.Status < FirstServerError) {
+             answer.Status < MinServerErrorStatus) {
     Poison.succeeded(open.Digest);
   }
 }
@@ -119,8 +119,8 @@
                                  ServerResult &result) const {
   if (outcome.Response) {
     auto &response = *outcome.Response;
-    result = response.Status >= FirstServerError ? ServerResult::ServerError
-                                                 : ServerResult::Ok;
+    result = response.Status >= MinServerErrorStatus ? ServerResult::ServerError
+                                                     : ServerResult::Ok;
     const auto said = headerValue(response.Headers, CallHeaders::Outcome);
     if (said == outcomeName(Outcome::NotRun)) {
       // The backend server shed the request and says so.
@@ -263,7 +263,8 @@
     return;
   }
   ++counts.Calls;
-  if (result.Result == Outcome::Unknown || result.Status >= FirstServerError) {
+  if (result.Result == Outcome::Unknown ||
+      result.Status >= MinServerErrorStatus) {
     ++counts.Errors;
   }
   const auto us = static_cast<std::uint64_t>(latency.count());
--- a/src/mesh/attempt_policy.cpp
+++ b/src/mesh/attempt_policy.cpp
@@ -24,7 +24,7 @@
 
 bool worthRepeating(const AttemptFacts &facts) {
   if (facts.End == AttemptEnd::Answered &&
-      (facts.Status < FirstServerError || facts.CallRefused)) {
+      (facts.Status < MinServerErrorStatus || facts.CallRefused)) {
     return false;
   }
   const bool ran =
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -276,7 +276,7 @@
   const bool silent = !outcome.Response && outcome.MayHaveRun;
   auto result = resultOf(it->second, outcome);
   result.CallRefused = result.Result == Outcome::Answered &&
-                       result.Status >= FirstServerError &&
+                       result.Status >= MinServerErrorStatus &&
                        Refused.explains(Loop.now());
   count(it->second, result, latency);
   noteInterruption(it->second, result);
@@ -301,7 +301,7 @@
                                       const CallResult &result) {
   const auto now = Loop.now();
   if (result.Result == Outcome::Answered) {
-    if (result.Status < FirstServerError) {
+    if (result.Status < MinServerErrorStatus) {
       Poison.succeeded(call.Digest);
     }
     if (now >= InterruptedAt + CrashGrace) {
@@ -345,8 +345,8 @@
   auto &counts = Counts[call.Message.Route];
   counts.PathPrefix = call.Message.Route;
   ++counts.Calls;
-  const bool failed =
-      result.Result == Outcome::Unknown || result.Status >= FirstServerError;
+  const bool failed = result.Result == Outcome::Unknown ||
+                      result.Status >= MinServerErrorStatus;
   counts.Errors += failed ? 1 : 0;
   const auto us = static_cast<std::uint64_t>(latency.count()) /
                   (call.WasCold ? ColdSlowdown : 1);
--- a/src/sidecar/proxy_service.cpp
+++ b/src/sidecar/proxy_service.cpp
@@ -264,10 +264,11 @@
   }
   switch (end) {
   case AttemptEnd::Answered:
-    tokens(request.Call.Service).earn();
+    tokens(request.Call.Service).recordAnswer();
     servers.answered(request.Peer, request.Route->Name, now - request.AttemptAt,
                      request.Call.Body.size() + result.Body.size(),
-                     result.Status >= FirstServerError && !result.CallRefused,
+                     result.Status >= MinServerErrorStatus &&
+                         !result.CallRefused,
                      result.Gate, now);
     break;
   case AttemptEnd::RefusedByGate:
@@ -423,7 +424,7 @@
   sample.Kind = request->Route->Name;
   sample.Result = outcome;
   sample.Good = outcome == Outcome::Answered &&
-                response.Status < FirstServerError &&
+                response.Status < MinServerErrorStatus &&
                 held <= request->Route->TargetLatency;
   sample.Latency = held;
   Parts.Figures.record(now, sample);
--- a/tests/unit/call_policy_test.cpp
+++ b/tests/unit/call_policy_test.cpp
@@ -44,8 +44,8 @@
   }
 };
 
-std::uint64_t blindCalls(int level) {
-  return level == Levels ? 1 : 4 * blindCalls(level + 1);
+std::uint64_t callsWithoutBudget(int level) {
+  return level == Levels ? 1 : 4 * callsWithoutBudget(level + 1);
 }
 
 } // namespace
@@ -59,7 +59,7 @@
   }
   const double factor = static_cast<double>(chain.DeepestCalls) / calls;
   std::cout << "deepest calls per call: " << factor << " with the budget, "
-            << blindCalls(0) << " with three blind retries\n";
+            << callsWithoutBudget(0) << " with three blind retries\n";
   CHECK(factor < 1.2);
 }
 
@@ -150,7 +150,7 @@
   RetryTokens tokens(T0);
   int taken = 0;
   for (int n = 0; n < 10000; ++n) {
-    tokens.earn();
+    tokens.recordAnswer();
     taken += tokens.tryAcquire(T0) ? 1 : 0;
   }
   CHECK(taken <= 10000 / 10 + 10);
