--- a/include/chivefold/core/claim_coordinator.h
+++ b/include/chivefold/core/claim_coordinator.h
@@ -23,7 +23,7 @@
 public:
   /** Keys whose claim is not seen in the log yet. On overflow they are
    * forgotten, and their callers get "outcome unknown" at their deadline. */
-  static constexpr std::size_t MaxUnseen = 50000;
+  static constexpr std::size_t MaxUnconfirmedKeys = 50000;
 
   /** @param state replayed log; outlives this object. @param self this run of
    * the daemon. */
@@ -32,11 +32,12 @@
 
   /**
    * A request with a key arrived.
-   * @param toHolder forwarded by a daemon that takes this one for the holder.
+   * @param forwardedToHolder forwarded by a daemon that takes this one for the
+   * holder.
    * @return what to do; see ClaimTable::request().
    */
   ClaimEffect request(const KeyHash &key, std::uint64_t bodyDigest,
-                      bool toHolder, WaiterId waiter);
+                      bool forwardedToHolder, WaiterId waiter);
 
   /** @return keys for one claim record to append now; see
    * ClaimTable::nextAppend(). */
@@ -67,7 +68,7 @@
   const ControlState &State;
   DaemonId Self;
   ClaimTable Table;
-  std::unordered_set<KeyHash> Unseen;
+  std::unordered_set<KeyHash> UnconfirmedKeys;
 };
 
 } // namespace chivefold
--- a/src/core/claim_coordinator.cpp
+++ b/src/core/claim_coordinator.cpp
@@ -17,10 +17,10 @@
 }
 
 ClaimEffect ClaimCoordinator::request(const KeyHash &key,
-                                      std::uint64_t bodyDigest, bool toHolder,
-                                      WaiterId waiter) {
+                                      std::uint64_t bodyDigest,
+                                      bool forwardedToHolder, WaiterId waiter) {
   const auto holder = holderOf(key);
-  if (toHolder && holder == ClaimHolder::Other) {
+  if (forwardedToHolder && holder == ClaimHolder::Other) {
     // The sender took this daemon for the holder, which it is not: an earlier
     // run of this daemon was, and its results are lost.
     return {waiter, ClaimAction::Unknown, nullptr};
@@ -30,11 +30,11 @@
 
 std::vector<KeyHash> ClaimCoordinator::nextAppend() {
   auto keys = Table.nextAppend();
-  if (Unseen.size() + keys.size() > MaxUnseen) {
+  if (UnconfirmedKeys.size() + keys.size() > MaxUnconfirmedKeys) {
     // Only a long outage of the log gets here.
-    Unseen.clear();
+    UnconfirmedKeys.clear();
   }
-  Unseen.insert(keys.begin(), keys.end());
+  UnconfirmedKeys.insert(keys.begin(), keys.end());
   return keys;
 }
 
@@ -45,24 +45,24 @@
                                bool mayHaveTakenEffect) {
   if (!mayHaveTakenEffect) {
     for (const auto &it : keys) {
-      Unseen.erase(it);
+      UnconfirmedKeys.erase(it);
     }
   }
   return Table.appendFailed(!mayHaveTakenEffect);
 }
 
 std::vector<ClaimEffect> ClaimCoordinator::recordsApplied() {
-  std::vector<KeyHash> seen;
-  for (const auto &it : Unseen) {
+  std::vector<KeyHash> confirmed;
+  for (const auto &it : UnconfirmedKeys) {
     if (holderOf(it) != ClaimHolder::None) {
-      seen.push_back(it);
+      confirmed.push_back(it);
     }
   }
   std::vector<ClaimEffect> effects;
-  for (const auto &it : seen) {
-    Unseen.erase(it);
-    const auto more = Table.claimSeen(it, holderOf(it));
-    effects.insert(effects.end(), more.begin(), more.end());
+  for (const auto &it : confirmed) {
+    UnconfirmedKeys.erase(it);
+    const auto keyEffects = Table.claimSeen(it, holderOf(it));
+    effects.insert(effects.end(), keyEffects.begin(), keyEffects.end());
   }
   return effects;
 }
