--- a/fuzz/claim_world.h
+++ b/fuzz/claim_world.h
@@ -361,7 +361,7 @@
                 const AppendResult &r) {
     auto &node = *All[n];
     if (r.Offset) {
-      node.Claims.appended();
+      node.Claims.appendAccepted();
       read(n);
     } else {
       auto effects = node.Claims.appendFailed(keys, r.MayHaveTakenEffect);
@@ -587,7 +587,7 @@
     if (outcome == Outcome::Answered) {
       return act(n, table.answered(key, {200, {}, run->Last.Body}));
     }
-    auto effects = table.ended(key, outcome);
+    auto effects = table.endedWithoutResponse(key, outcome);
     for (auto &it : effects) {
       if (isWrong("unknown-as-notrun") && it.Action == ClaimAction::Unknown) {
         it.Action = ClaimAction::NotRun;
@@ -678,7 +678,8 @@
       auto it = node.Waiters.begin();
       std::advance(it, which % node.Waiters.size());
       const auto id = it->first;
-      node.Claims.table().forget(hashOf(Callers[it->second.Caller].Key), id);
+      node.Claims.table().removeWaiter(hashOf(Callers[it->second.Caller].Key),
+                                       id);
       say("a caller's deadline passes at daemon " + std::to_string(n));
       reply(n, id, {Outcome::Unknown, false, "", {}});
     }
--- a/include/chivefold/core/claim_coordinator.h
+++ b/include/chivefold/core/claim_coordinator.h
@@ -45,7 +45,7 @@
 
   /** The append in flight was accepted. Read the log up to it, then call
    * recordsApplied(). */
-  void appended();
+  void appendAccepted();
 
   /** The append of @p keys failed. @param mayHaveTakenEffect unless the record
    * is certainly not and will not be in the log. */
--- a/include/chivefold/core/claim_table.h
+++ b/include/chivefold/core/claim_table.h
@@ -107,22 +107,23 @@
   std::vector<KeyHash> nextAppend();
 
   /** The append in flight was accepted; its keys stay pending until
-   * claimSeen(). */
-  void appended();
+   * claimReplayed(). */
+  void appendAccepted();
 
   /**
    * The append in flight failed, or it is not known whether it took effect.
    * Its callers get "outcome unknown", since the key may be claimed elsewhere.
    * @param certain that the record is not and will not be in the log.
    */
-  std::vector<ClaimEffect> appendFailed(bool certain);
+  std::vector<ClaimEffect> appendFailed(bool certainlyNotInLog);
 
   /**
    * The first claim of @p key was seen in the replayed log.
    * @param holder Self or Other. A claim of a key that is not in the table is
    * ignored; such a key reads "outcome unknown" if Self holds it.
    */
-  std::vector<ClaimEffect> claimSeen(const KeyHash &key, ClaimHolder holder);
+  std::vector<ClaimEffect> claimReplayed(const KeyHash &key,
+                                         ClaimHolder holder);
 
   /** An attempt is about to be sent. @return false if it must not be: the key
    * is not running, or an earlier attempt may have reached a server. */
@@ -136,10 +137,11 @@
    * to store is given to the present callers only. */
   std::vector<ClaimEffect> answered(const KeyHash &key,
                                     StoredResponse response);
-  std::vector<ClaimEffect> ended(const KeyHash &key, Outcome outcome);
+  std::vector<ClaimEffect> endedWithoutResponse(const KeyHash &key,
+                                                Outcome outcome);
 
   /** The caller is gone; a run goes on without it. */
-  void forget(const KeyHash &key, WaiterId waiter);
+  void removeWaiter(const KeyHash &key, WaiterId waiter);
 
   std::size_t size() const;
   std::size_t storedBytes() const;
@@ -151,13 +153,13 @@
     /** In the record being appended, or appended and not seen yet. */
     Appending,
     /** The append failed or its result is lost; may yet be seen. */
-    Lost,
-    Unused,
+    AppendUncertain,
+    Claimed,
     Running,
     Answered,
     Unknown
   };
-  struct Waiting {
+  struct Waiter {
     WaiterId Id = WaiterId::None;
     std::uint64_t BodyDigest = 0;
   };
@@ -165,37 +167,38 @@
     Phase State = Phase::Pending;
     std::uint64_t BodyDigest = 0;
     bool AttemptMayHaveRun = false;
-    std::vector<Waiting> Waiters;
+    std::vector<Waiter> Waiters;
     std::shared_ptr<const StoredResponse> Response;
-    std::list<KeyHash>::iterator Age;
+    std::list<KeyHash>::iterator OrderPosition;
   };
 
-  ClaimEffect join(Entry &entry, const Waiting &waiter) const;
-  ClaimEffect claim(Entry &entry, const KeyHash &key, const Waiting &waiter);
-  ClaimEffect resume(Entry &entry, const KeyHash &key, ClaimHolder holder,
-                     const Waiting &waiter);
-  bool makeRoom();
+  ClaimEffect addWaiter(Entry &entry, const Waiter &waiter) const;
+  ClaimEffect requestClaim(Entry &entry, const KeyHash &key,
+                           const Waiter &waiter);
+  ClaimEffect requestKnownKey(Entry &entry, const KeyHash &key,
+                              ClaimHolder holder, const Waiter &waiter);
+  bool ensureCapacity();
   void store(Entry &entry, const KeyHash &key,
              std::shared_ptr<const StoredResponse> response);
   void dropResponse(Entry &entry);
   void erase(const KeyHash &key);
-  static std::vector<ClaimEffect>
-  release(Entry &entry, ClaimAction action,
-          const std::shared_ptr<const StoredResponse> &response = nullptr);
+  static std::vector<ClaimEffect> resolveWaiters(
+      Entry &entry, ClaimAction action,
+      const std::shared_ptr<const StoredResponse> &response = nullptr);
 
   ClaimLimits Limits;
   std::unordered_map<KeyHash, Entry> Entries;
   /** All keys, oldest first. */
-  std::list<KeyHash> Ages;
+  std::list<KeyHash> InsertionOrder;
   /** Keys with a stored response, oldest first; at most one per response
    * stored, but may name evicted ones until they reach the front. */
-  std::deque<KeyHash> Responses;
+  std::deque<KeyHash> ResponseOrder;
   std::size_t ResponseCount = 0;
   std::size_t ResponseBytes = 0;
   /** Keys that want a claim; at most twice MaxEntries, beyond it new keys get
    * "outcome unknown". */
-  std::deque<KeyHash> ToAppend;
-  std::vector<KeyHash> InAppend;
+  std::deque<KeyHash> AppendQueue;
+  std::vector<KeyHash> KeysInAppend;
 };
 
 } // namespace chivefold
--- a/src/core/claim_coordinator.cpp
+++ b/src/core/claim_coordinator.cpp
@@ -38,7 +38,7 @@
   return keys;
 }
 
-void ClaimCoordinator::appended() { Table.appended(); }
+void ClaimCoordinator::appendAccepted() { Table.appendAccepted(); }
 
 std::vector<ClaimEffect>
 ClaimCoordinator::appendFailed(const std::vector<KeyHash> &keys,
@@ -61,7 +61,7 @@
   std::vector<ClaimEffect> effects;
   for (const auto &it : confirmed) {
     UnconfirmedKeys.erase(it);
-    const auto keyEffects = Table.claimSeen(it, holderOf(it));
+    const auto keyEffects = Table.claimReplayed(it, holderOf(it));
     effects.insert(effects.end(), keyEffects.begin(), keyEffects.end());
   }
   return effects;
--- a/src/core/claim_table.cpp
+++ b/src/core/claim_table.cpp
@@ -35,31 +35,31 @@
 
 ClaimEffect ClaimTable::request(const KeyHash &key, std::uint64_t bodyDigest,
                                 ClaimHolder holder, WaiterId waiter) {
-  const Waiting caller{waiter, bodyDigest};
+  const Waiter caller{waiter, bodyDigest};
   const auto it = Entries.find(key);
   if (it != Entries.end()) {
-    return resume(it->second, key, holder, caller);
+    return requestKnownKey(it->second, key, holder, caller);
   }
   if (holder == ClaimHolder::Other) {
     return {waiter, ClaimAction::Forward, nullptr};
   }
   // A claim of this daemon without an entry was evicted and may have run.
-  if (holder == ClaimHolder::Self || !makeRoom()) {
+  if (holder == ClaimHolder::Self || !ensureCapacity()) {
     return {waiter, ClaimAction::Unknown, nullptr};
   }
   auto &entry = Entries[key];
-  entry.Age = Ages.insert(Ages.end(), key);
-  return claim(entry, key, caller);
+  entry.OrderPosition = InsertionOrder.insert(InsertionOrder.end(), key);
+  return requestClaim(entry, key, caller);
 }
 
-ClaimEffect ClaimTable::claim(Entry &entry, const KeyHash &key,
-                              const Waiting &waiter) {
+ClaimEffect ClaimTable::requestClaim(Entry &entry, const KeyHash &key,
+                                     const Waiter &waiter) {
   entry.State = Phase::Pending;
-  ToAppend.push_back(key);
-  return join(entry, waiter);
+  AppendQueue.push_back(key);
+  return addWaiter(entry, waiter);
 }
 
-ClaimEffect ClaimTable::join(Entry &entry, const Waiting &waiter) const {
+ClaimEffect ClaimTable::addWaiter(Entry &entry, const Waiter &waiter) const {
   if (entry.Waiters.size() >= Limits.MaxWaiters) {
     return {waiter.Id, ClaimAction::Unknown, nullptr};
   }
@@ -67,22 +67,23 @@
   return {waiter.Id, ClaimAction::Wait, nullptr};
 }
 
-ClaimEffect ClaimTable::resume(Entry &entry, const KeyHash &key,
-                               ClaimHolder holder, const Waiting &waiter) {
+ClaimEffect ClaimTable::requestKnownKey(Entry &entry, const KeyHash &key,
+                                        ClaimHolder holder,
+                                        const Waiter &waiter) {
   switch (entry.State) {
   case Phase::Pending:
   case Phase::Appending:
     if (holder == ClaimHolder::Other) {
       return {waiter.Id, ClaimAction::Forward, nullptr};
     }
-    return join(entry, waiter);
-  case Phase::Lost:
-  case Phase::Unused:
+    return addWaiter(entry, waiter);
+  case Phase::AppendUncertain:
+  case Phase::Claimed:
     if (holder == ClaimHolder::Other) {
       return {waiter.Id, ClaimAction::Forward, nullptr};
     }
     if (holder == ClaimHolder::None) {
-      return claim(entry, key, waiter);
+      return requestClaim(entry, key, waiter);
     }
     entry.State = Phase::Running;
     entry.BodyDigest = waiter.BodyDigest;
@@ -97,21 +98,21 @@
     return {waiter.Id, ClaimAction::Conflict, nullptr};
   }
   if (entry.State == Phase::Running) {
-    return join(entry, waiter);
+    return addWaiter(entry, waiter);
   }
   const bool isAnswered = entry.State == Phase::Answered;
   return {waiter.Id, isAnswered ? ClaimAction::Answer : ClaimAction::Unknown,
           entry.Response};
 }
 
-bool ClaimTable::makeRoom() {
-  if (ToAppend.size() >= 2 * Limits.MaxEntries) {
+bool ClaimTable::ensureCapacity() {
+  if (AppendQueue.size() >= 2 * Limits.MaxEntries) {
     return false;
   }
   if (Entries.size() < Limits.MaxEntries) {
     return true;
   }
-  for (const auto &key : Ages) {
+  for (const auto &key : InsertionOrder) {
     const auto &entry = Entries.at(key);
     if (entry.State != Phase::Running && entry.Waiters.empty()) {
       erase(key);
@@ -132,14 +133,14 @@
 void ClaimTable::erase(const KeyHash &key) {
   const auto it = Entries.find(key);
   dropResponse(it->second);
-  const auto age = it->second.Age;
+  const auto age = it->second.OrderPosition;
   Entries.erase(it);
-  Ages.erase(age);
+  InsertionOrder.erase(age);
 }
 
-std::vector<ClaimEffect>
-ClaimTable::release(Entry &entry, ClaimAction action,
-                    const std::shared_ptr<const StoredResponse> &response) {
+std::vector<ClaimEffect> ClaimTable::resolveWaiters(
+    Entry &entry, ClaimAction action,
+    const std::shared_ptr<const StoredResponse> &response) {
   std::vector<ClaimEffect> effects;
   effects.reserve(entry.Waiters.size());
   for (const auto &it : entry.Waiters) {
@@ -150,12 +151,13 @@
 }
 
 std::vector<KeyHash> ClaimTable::nextAppend() {
-  if (!InAppend.empty()) {
+  if (!KeysInAppend.empty()) {
     return {};
   }
-  while (!ToAppend.empty() && InAppend.size() < Limits.MaxKeysPerRecord) {
-    const auto key = ToAppend.front();
-    ToAppend.pop_front();
+  while (!AppendQueue.empty() &&
+         KeysInAppend.size() < Limits.MaxKeysPerRecord) {
+    const auto key = AppendQueue.front();
+    AppendQueue.pop_front();
     const auto it = Entries.find(key);
     if (it == Entries.end() || it->second.State != Phase::Pending) {
       continue;
@@ -165,67 +167,67 @@
       continue;
     }
     it->second.State = Phase::Appending;
-    InAppend.push_back(key);
+    KeysInAppend.push_back(key);
   }
-  return InAppend;
+  return KeysInAppend;
 }
 
-void ClaimTable::appended() { InAppend.clear(); }
+void ClaimTable::appendAccepted() { KeysInAppend.clear(); }
 
-std::vector<ClaimEffect> ClaimTable::appendFailed(bool certain) {
+std::vector<ClaimEffect> ClaimTable::appendFailed(bool certainlyNotInLog) {
   std::vector<ClaimEffect> effects;
-  for (const auto &key : InAppend) {
+  for (const auto &key : KeysInAppend) {
     const auto it = Entries.find(key);
     if (it == Entries.end() || it->second.State != Phase::Appending) {
       continue; // Seen in the log before the failure was reported.
     }
-    const auto released = release(it->second, ClaimAction::Unknown);
+    const auto released = resolveWaiters(it->second, ClaimAction::Unknown);
     effects.insert(effects.end(), released.begin(), released.end());
     // A key whose earlier append was lost may still be claimed by it; erasing
     // it then reads "outcome unknown", which is safe.
-    if (certain) {
+    if (certainlyNotInLog) {
       erase(key);
     } else {
-      it->second.State = Phase::Lost;
+      it->second.State = Phase::AppendUncertain;
     }
   }
-  InAppend.clear();
+  KeysInAppend.clear();
   return effects;
 }
 
-std::vector<ClaimEffect> ClaimTable::claimSeen(const KeyHash &key,
-                                               ClaimHolder holder) {
+std::vector<ClaimEffect> ClaimTable::claimReplayed(const KeyHash &key,
+                                                   ClaimHolder holder) {
   const auto it = Entries.find(key);
   if (it == Entries.end()) {
     return {};
   }
   auto &entry = it->second;
   if (entry.State != Phase::Pending && entry.State != Phase::Appending &&
-      entry.State != Phase::Lost) {
+      entry.State != Phase::AppendUncertain) {
     return {};
   }
   if (holder != ClaimHolder::Self) {
-    auto effects = release(entry, ClaimAction::Forward);
+    auto effects = resolveWaiters(entry, ClaimAction::Forward);
     erase(key);
     return effects;
   }
   if (entry.Waiters.empty()) {
-    entry.State = Phase::Unused;
+    entry.State = Phase::Claimed;
     return {};
   }
   entry.State = Phase::Running;
   entry.BodyDigest = entry.Waiters.front().BodyDigest;
   std::vector<ClaimEffect> effects{
       {entry.Waiters.front().Id, ClaimAction::Run, nullptr}};
-  std::vector<Waiting> joined;
+  std::vector<Waiter> sameBody;
   for (const auto &waiter : entry.Waiters) {
     if (waiter.BodyDigest == entry.BodyDigest) {
-      joined.push_back(waiter);
+      sameBody.push_back(waiter);
     } else {
       effects.push_back({waiter.Id, ClaimAction::Conflict, nullptr});
     }
   }
-  entry.Waiters = std::move(joined);
+  entry.Waiters = std::move(sameBody);
   return effects;
 }
 
@@ -253,7 +255,7 @@
     return {};
   }
   auto shared = std::make_shared<const StoredResponse>(std::move(response));
-  auto effects = release(it->second, ClaimAction::Answer, shared);
+  auto effects = resolveWaiters(it->second, ClaimAction::Answer, shared);
   store(it->second, key, std::move(shared));
   return effects;
 }
@@ -268,11 +270,12 @@
   ++ResponseCount;
   entry.State = Phase::Answered;
   entry.Response = std::move(response);
-  Responses.push_back(key);
-  while (!Responses.empty() && (Responses.size() > Limits.MaxResponses ||
-                                ResponseBytes > Limits.MaxTotalBytes)) {
-    const auto oldest = Entries.find(Responses.front());
-    Responses.pop_front();
+  ResponseOrder.push_back(key);
+  while (!ResponseOrder.empty() &&
+         (ResponseOrder.size() > Limits.MaxResponses ||
+          ResponseBytes > Limits.MaxTotalBytes)) {
+    const auto oldest = Entries.find(ResponseOrder.front());
+    ResponseOrder.pop_front();
     if (oldest != Entries.end() && oldest->second.Response != nullptr) {
       dropResponse(oldest->second);
       oldest->second.State = Phase::Unknown;
@@ -280,22 +283,22 @@
   }
 }
 
-std::vector<ClaimEffect> ClaimTable::ended(const KeyHash &key,
-                                           Outcome outcome) {
+std::vector<ClaimEffect> ClaimTable::endedWithoutResponse(const KeyHash &key,
+                                                          Outcome outcome) {
   const auto it = Entries.find(key);
   if (it == Entries.end() || it->second.State != Phase::Running) {
     return {};
   }
   auto &entry = it->second;
   if (outcome == Outcome::NotRun && !entry.AttemptMayHaveRun) {
-    entry.State = Phase::Unused;
-    return release(entry, ClaimAction::NotRun);
+    entry.State = Phase::Claimed;
+    return resolveWaiters(entry, ClaimAction::NotRun);
   }
   entry.State = Phase::Unknown;
-  return release(entry, ClaimAction::Unknown);
+  return resolveWaiters(entry, ClaimAction::Unknown);
 }
 
-void ClaimTable::forget(const KeyHash &key, WaiterId waiter) {
+void ClaimTable::removeWaiter(const KeyHash &key, WaiterId waiter) {
   const auto it = Entries.find(key);
   if (it == Entries.end()) {
     return;
@@ -303,7 +306,7 @@
   auto &list = it->second.Waiters;
   list.erase(
       std::remove_if(list.begin(), list.end(),
-                     [waiter](const Waiting &w) { return w.Id == waiter; }),
+                     [waiter](const Waiter &w) { return w.Id == waiter; }),
       list.end());
 }
 
--- a/src/daemon/claim_service.cpp
+++ b/src/daemon/claim_service.cpp
@@ -86,7 +86,7 @@
                                   const Result<LogOffset> &offset,
                                   bool mayHaveTakenEffect) {
   if (offset) {
-    Claims.appended();
+    Claims.appendAccepted();
     Control.catchUp(*offset);
     recordsApplied();
   } else {
@@ -147,7 +147,7 @@
                                       std::move(result.Body)}));
     return;
   }
-  act(Claims.table().ended(key, result.Result));
+  act(Claims.table().endedWithoutResponse(key, result.Result));
 }
 
 void ClaimService::forward(WaiterId id) {
@@ -187,7 +187,7 @@
   if (it == Waiters.end()) {
     return;
   }
-  Claims.table().forget(it->second.Key, id);
+  Claims.table().removeWaiter(it->second.Key, id);
   reply(id, unknownCall(ErrorCode::DeadlineExceeded));
 }
 
--- a/tests/unit/claim_table_test.cpp
+++ b/tests/unit/claim_table_test.cpp
@@ -13,17 +13,18 @@
 
 WaiterId waiter(std::uint64_t n) { return static_cast<WaiterId>(n); }
 
-ClaimAction ask(ClaimTable &table, const KeyHash &key, ClaimHolder holder,
-                std::uint64_t caller, std::uint64_t body = Body) {
+ClaimAction requestAction(ClaimTable &table, const KeyHash &key,
+                          ClaimHolder holder, std::uint64_t caller,
+                          std::uint64_t body = Body) {
   return table.request(key, body, holder, waiter(caller)).Action;
 }
 
 /** Brings @p key to its first run by caller 1. */
 void claimAndRun(ClaimTable &table, const KeyHash &key) {
-  REQUIRE(ask(table, key, ClaimHolder::None, 1) == ClaimAction::Wait);
+  REQUIRE(requestAction(table, key, ClaimHolder::None, 1) == ClaimAction::Wait);
   REQUIRE(table.nextAppend().size() == 1);
-  table.appended();
-  const auto effects = table.claimSeen(key, ClaimHolder::Self);
+  table.appendAccepted();
+  const auto effects = table.claimReplayed(key, ClaimHolder::Self);
   REQUIRE(effects.size() == 1);
   REQUIRE(effects[0].Action == ClaimAction::Run);
 }
@@ -44,7 +45,7 @@
     ClaimTable table(limits);
     // The log as the daemon has replayed it, and what is on its way to it.
     std::map<std::uint64_t, ClaimHolder> log;
-    std::vector<KeyHash> onTheWay;
+    std::vector<KeyHash> unreplayedKeys;
     std::set<std::uint64_t> mayHaveRun;
     std::set<std::uint64_t> attempting;
     const auto check = [&](std::uint64_t key,
@@ -54,14 +55,14 @@
         RC_ASSERT_FALSE(ran && it.Action == ClaimAction::NotRun);
         RC_ASSERT_FALSE(ran && it.Action == ClaimAction::Run);
         const auto claim = log.find(key);
-        const bool isHeld =
+        const bool isHeldHere =
             claim != log.end() && claim->second == ClaimHolder::Self;
-        RC_ASSERT_FALSE(!isHeld && it.Action == ClaimAction::Run);
+        RC_ASSERT_FALSE(!isHeldHere && it.Action == ClaimAction::Run);
       }
     };
-    const auto see = [&](std::uint64_t key, ClaimHolder holder) {
+    const auto replayClaim = [&](std::uint64_t key, ClaimHolder holder) {
       const bool isFirst = log.emplace(key, holder).second;
-      check(key, isFirst ? table.claimSeen({1, key}, holder)
+      check(key, isFirst ? table.claimReplayed({1, key}, holder)
                          : std::vector<ClaimEffect>{});
     };
     bool inFlight = false;
@@ -85,11 +86,11 @@
       case 3:
         for (const auto &it : table.nextAppend()) {
           inFlight = true;
-          onTheWay.push_back(it);
+          unreplayedKeys.push_back(it);
         }
         break;
       case 4:
-        inFlight ? table.appended() : void();
+        inFlight ? table.appendAccepted() : void();
         inFlight = false;
         break;
       case 5:
@@ -99,10 +100,10 @@
         }
         break;
       case 6:
-        for (const auto &it : onTheWay) {
-          see(it.Low, ClaimHolder::Self);
+        for (const auto &it : unreplayedKeys) {
+          replayClaim(it.Low, ClaimHolder::Self);
         }
-        onTheWay.clear();
+        unreplayedKeys.clear();
         break;
       case 7:
         if (table.attemptStarted(hash)) {
@@ -118,14 +119,14 @@
         }
         break;
       case 9:
-        check(key, table.ended(hash, Outcome::NotRun));
+        check(key, table.endedWithoutResponse(hash, Outcome::NotRun));
         attempting.erase(key);
         break;
       default:
         if (attempting.erase(key) != 0) {
           table.answered(hash, {200, {}, "done"});
         } else if (step > 64000) {
-          see(key, ClaimHolder::Other);
+          replayClaim(key, ClaimHolder::Other);
         }
       }
       RC_ASSERT(table.size() <= limits.MaxEntries);
@@ -139,15 +140,17 @@
   ClaimTable table;
   const KeyHash key{1, 1};
   claimAndRun(table, key);
-  CHECK(ask(table, key, ClaimHolder::Self, 2) == ClaimAction::Wait);
-  CHECK(ask(table, key, ClaimHolder::Self, 3, 8) == ClaimAction::Conflict);
+  CHECK(requestAction(table, key, ClaimHolder::Self, 2) == ClaimAction::Wait);
+  CHECK(requestAction(table, key, ClaimHolder::Self, 3, 8) ==
+        ClaimAction::Conflict);
   REQUIRE(table.attemptStarted(key));
   CHECK_FALSE(table.attemptStarted(key));
   CHECK(table.answered(key, {201, {{"A", "b"}}, "booked"}).size() == 2);
   const auto repeat = table.request(key, Body, ClaimHolder::Self, waiter(4));
   REQUIRE(repeat.Action == ClaimAction::Answer);
   CHECK(repeat.Response->Body == "booked");
-  CHECK(ask(table, key, ClaimHolder::Self, 5, 8) == ClaimAction::Conflict);
+  CHECK(requestAction(table, key, ClaimHolder::Self, 5, 8) ==
+        ClaimAction::Conflict);
 }
 
 // Guards against a claim that stays blocked after a rejection that was
@@ -158,23 +161,26 @@
   claimAndRun(table, key);
   REQUIRE(table.attemptStarted(key));
   table.attemptNotRun(key);
-  CHECK(table.ended(key, Outcome::NotRun)[0].Action == ClaimAction::NotRun);
-  CHECK(ask(table, key, ClaimHolder::Self, 2) == ClaimAction::Run);
+  CHECK(table.endedWithoutResponse(key, Outcome::NotRun)[0].Action ==
+        ClaimAction::NotRun);
+  CHECK(requestAction(table, key, ClaimHolder::Self, 2) == ClaimAction::Run);
   REQUIRE(table.attemptStarted(key));
-  CHECK(table.ended(key, Outcome::NotRun)[0].Action == ClaimAction::Unknown);
-  CHECK(ask(table, key, ClaimHolder::Self, 3) == ClaimAction::Unknown);
+  CHECK(table.endedWithoutResponse(key, Outcome::NotRun)[0].Action ==
+        ClaimAction::Unknown);
+  CHECK(requestAction(table, key, ClaimHolder::Self, 3) ==
+        ClaimAction::Unknown);
 }
 
 // Guards against one append per claim, which would exceed the log's budget.
 TEST_CASE("claims share an append and one append is in flight", "[claim]") {
   ClaimTable table;
-  ask(table, {1, 0}, ClaimHolder::None, 1);
+  requestAction(table, {1, 0}, ClaimHolder::None, 1);
   CHECK(table.nextAppend().size() == 1);
   for (std::uint64_t n = 1; n <= 1500; ++n) {
-    ask(table, {1, n}, ClaimHolder::None, n);
+    requestAction(table, {1, n}, ClaimHolder::None, n);
   }
   CHECK(table.nextAppend().empty());
-  table.appended();
+  table.appendAccepted();
   CHECK(table.nextAppend().size() == 1000);
   const auto failed = table.appendFailed(true);
   CHECK(failed.size() == 1000);
@@ -187,15 +193,15 @@
 TEST_CASE("a lost append may still give the claim", "[claim]") {
   ClaimTable table;
   const KeyHash key{1, 1};
-  ask(table, key, ClaimHolder::None, 1);
+  requestAction(table, key, ClaimHolder::None, 1);
   table.nextAppend();
   CHECK(table.appendFailed(false).size() == 1);
-  CHECK(table.claimSeen(key, ClaimHolder::Self).empty());
-  CHECK(ask(table, key, ClaimHolder::Self, 2) == ClaimAction::Run);
+  CHECK(table.claimReplayed(key, ClaimHolder::Self).empty());
+  CHECK(requestAction(table, key, ClaimHolder::Self, 2) == ClaimAction::Run);
   const KeyHash other{1, 2};
-  ask(table, other, ClaimHolder::None, 3);
+  requestAction(table, other, ClaimHolder::None, 3);
   table.nextAppend();
-  CHECK(table.claimSeen(other, ClaimHolder::Other)[0].Action ==
+  CHECK(table.claimReplayed(other, ClaimHolder::Other)[0].Action ==
         ClaimAction::Forward);
 }
 
@@ -209,7 +215,10 @@
     table.answered({1, n}, {200, {}, std::string(40, 'x')});
   }
   CHECK(table.storedBytes() == 80);
-  CHECK(ask(table, {1, 0}, ClaimHolder::Self, 9) == ClaimAction::Unknown);
-  CHECK(ask(table, {1, 2}, ClaimHolder::Self, 9) == ClaimAction::Answer);
-  CHECK(ask(table, {1, 5}, ClaimHolder::Self, 9) == ClaimAction::Unknown);
+  CHECK(requestAction(table, {1, 0}, ClaimHolder::Self, 9) ==
+        ClaimAction::Unknown);
+  CHECK(requestAction(table, {1, 2}, ClaimHolder::Self, 9) ==
+        ClaimAction::Answer);
+  CHECK(requestAction(table, {1, 5}, ClaimHolder::Self, 9) ==
+        ClaimAction::Unknown);
 }
