--- a/include/chivefold/core/claim_history.h
+++ b/include/chivefold/core/claim_history.h
@@ -58,17 +58,17 @@
   /** Holders are stored once, since a daemon has many claims. */
   struct HolderSlot {
     DaemonId Id;
-    std::uint32_t Uses = 0;
+    std::uint32_t References = 0;
   };
   std::uint32_t acquireHolder(const DaemonId &id);
-  void dropOldest();
+  void evictOldest();
   std::uint64_t hashOf(const Entry &entry) const;
 
   std::deque<Entry> Entries;
-  std::uint64_t Dropped = 0;
+  std::uint64_t EvictedCount = 0;
   std::unordered_map<KeyHash, std::uint64_t> Index;
   std::vector<HolderSlot> Holders;
-  std::vector<std::uint32_t> FreeHolders;
+  std::vector<std::uint32_t> FreeHolderSlots;
   std::map<std::pair<Address, std::uint64_t>, std::uint32_t> HolderIndex;
   std::uint64_t Digest = 0;
 };
--- a/src/core/claim_history.cpp
+++ b/src/core/claim_history.cpp
@@ -7,7 +7,7 @@
   if (it == Index.end()) {
     return std::nullopt;
   }
-  const auto &entry = Entries[it->second - Dropped];
+  const auto &entry = Entries[it->second - EvictedCount];
   return Claim{entry.Offset, holder(entry)};
 }
 
@@ -17,9 +17,9 @@
     return false;
   }
   if (Entries.size() == MaxEntries) {
-    dropOldest();
+    evictOldest();
   }
-  Index.emplace(key, Dropped + Entries.size());
+  Index.emplace(key, EvictedCount + Entries.size());
   Entries.push_back({key, offset, acquireHolder(holder)});
   Digest += hashOf(Entries.back());
   return true;
@@ -29,33 +29,33 @@
   const auto key = std::make_pair(id.Peer, id.BootId);
   const auto it = HolderIndex.find(key);
   if (it != HolderIndex.end()) {
-    ++Holders[it->second].Uses;
+    ++Holders[it->second].References;
     return it->second;
   }
   std::uint32_t slot = 0;
-  if (FreeHolders.empty()) {
+  if (FreeHolderSlots.empty()) {
     slot = static_cast<std::uint32_t>(Holders.size());
     Holders.emplace_back();
   } else {
-    slot = FreeHolders.back();
-    FreeHolders.pop_back();
+    slot = FreeHolderSlots.back();
+    FreeHolderSlots.pop_back();
   }
   Holders[slot] = {id, 1};
   HolderIndex.emplace(key, slot);
   return slot;
 }
 
-void ClaimHistory::dropOldest() {
+void ClaimHistory::evictOldest() {
   const auto entry = Entries.front();
   Digest -= hashOf(entry);
   Index.erase(entry.Key);
   auto &slot = Holders[entry.Holder];
-  if (--slot.Uses == 0) {
+  if (--slot.References == 0) {
     HolderIndex.erase({slot.Id.Peer, slot.Id.BootId});
-    FreeHolders.push_back(entry.Holder);
+    FreeHolderSlots.push_back(entry.Holder);
   }
   Entries.pop_front();
-  ++Dropped;
+  ++EvictedCount;
 }
 
 std::uint64_t ClaimHistory::hashOf(const Entry &entry) const {
