--- a/benchmark/dissemination.cpp
+++ b/benchmark/dissemination.cpp
@@ -216,7 +216,7 @@
     }
     const auto to = Index.at(request->Peer);
     send(fetchBytes(*request), [this, n, to, r = *request] {
-      const auto served = All[to]->Core.serve(r.After);
+      const auto served = All[to]->Core.recordsAfter(r.After);
       send(recordsBytes(served.Records),
            [this, n, from = r.Peer, records = served.Records] {
              accept(n, records, from, false);
--- a/fuzz/control_replay.cpp
+++ b/fuzz/control_replay.cpp
@@ -167,7 +167,7 @@
     if (!fetch) {
       return;
     }
-    auto served = All[indexOf(fetch->Peer)]->Core.serve(fetch->After);
+    auto served = All[indexOf(fetch->Peer)]->Core.recordsAfter(fetch->After);
     if (served.SnapshotNeeded) {
       snapshot(n, indexOf(fetch->Peer));
     }
--- a/include/chivefold/core/dissemination.h
+++ b/include/chivefold/core/dissemination.h
@@ -24,15 +24,15 @@
 
 /** Bounds of dissemination. */
 struct DisseminationLimits {
-  static constexpr std::size_t RingRecords = 4096;
-  static constexpr std::size_t RingBytes = 4U << 20U;
+  static constexpr std::size_t MaxRecentRecords = 4096;
+  static constexpr std::size_t MaxRecentBytes = 4U << 20U;
   /** Records held beyond a gap; the highest offsets are dropped on overflow and
    * fetched again later. */
-  static constexpr std::size_t HeldRecords = 256;
+  static constexpr std::size_t MaxOutOfOrderRecords = 256;
   static constexpr std::size_t Fanout = 4;
   /** Bytes of records in one message; a receiver fetches the rest. At least
    * one record is always included. */
-  static constexpr std::size_t MessageBytes = 256U << 10U;
+  static constexpr std::size_t MaxMessageBytes = 256U << 10U;
   /** After this time an unanswered fetch is repeated with another peer. */
   static constexpr Duration FetchTimeout = std::chrono::milliseconds(500);
 };
@@ -50,7 +50,7 @@
 };
 
 /** What the caller does after records were accepted. */
-struct Accepted {
+struct AcceptResult {
   /** Records applied by this call. */
   std::size_t Applied = 0;
   std::vector<Push> Pushes;
@@ -58,7 +58,7 @@
 };
 
 /** Answer to a fetch. */
-struct Served {
+struct FetchResponse {
   std::vector<LogEntry> Records;
   /** The records are no longer held; the peer must ask for a snapshot. */
   bool SnapshotNeeded = false;
@@ -83,8 +83,8 @@
    * starting daemon reads: others have them, and a daemon that catches up would
    * send its whole backlog.
    */
-  Accepted accept(const std::vector<LogEntry> &records,
-                  const std::optional<Address> &from, TimePoint now);
+  AcceptResult accept(const std::vector<LogEntry> &records,
+                      const std::optional<Address> &from, TimePoint now);
 
   /** A peer's probe or answer said that it has applied @p applied.
    * @return the fetch to send, at most one at a time. */
@@ -95,8 +95,8 @@
    * @return the fetch to send to another peer, if one is due. */
   std::optional<Fetch> tick(TimePoint now);
 
-  /** @return records after @p after, at most MessageBytes of them. */
-  Served serve(LogOffset after) const;
+  /** @return records after @p after, at most MaxMessageBytes of them. */
+  FetchResponse recordsAfter(LogOffset after) const;
 
   /**
    * Replaces the state by a snapshot that is newer, then applies held records.
@@ -118,30 +118,30 @@
   LogOffset knownTail() const { return KnownTail; }
 
   /** @return the number of records held beyond a gap. */
-  std::size_t heldCount() const { return Held.size(); }
+  std::size_t outOfOrderCount() const { return OutOfOrder.size(); }
 
-  Recovery &recovery() { return Starting; }
+  Recovery &recovery() { return StartupRecovery; }
 
   /** @return whether this daemon may serve, and why not. */
   Readiness readiness();
 
 private:
   bool applyNext(const LogEntry &entry);
-  void hold(const LogEntry &entry);
-  void applyHeld(std::vector<LogEntry> &applied);
-  void remember(const LogEntry &entry);
-  std::vector<Push> pushesOf(const std::vector<LogEntry> &records,
-                             const std::optional<Address> &from);
+  void bufferOutOfOrder(const LogEntry &entry);
+  void applyBuffered(std::vector<LogEntry> &applied);
+  void addRecent(const LogEntry &entry);
+  std::vector<Push> makePushes(const std::vector<LogEntry> &records,
+                               const std::optional<Address> &from);
   std::optional<Fetch> fetchFrom(const Address &peer, TimePoint now);
   std::optional<Fetch> fetchFromAny(TimePoint now);
 
   ControlState &State;
   MemberTable &Members;
-  Recovery Starting;
+  Recovery StartupRecovery;
   /** Newest applied records without gaps, oldest first. */
-  std::deque<LogEntry> Ring;
-  std::size_t RingBytes = 0;
-  std::map<LogOffset, LogEntry> Held;
+  std::deque<LogEntry> RecentRecords;
+  std::size_t RecentBytes = 0;
+  std::map<LogOffset, LogEntry> OutOfOrder;
   LogOffset KnownTail = LogOffset::None;
   /** A fetch from this peer is outstanding until FetchDeadline. */
   std::optional<Address> FetchPeer;
--- a/src/core/dissemination.cpp
+++ b/src/core/dissemination.cpp
@@ -7,24 +7,24 @@
 Dissemination::Dissemination(ControlState &state, MemberTable &members)
     : State(state), Members(members), KnownTail(state.applied()) {}
 
-Accepted Dissemination::accept(const std::vector<LogEntry> &records,
-                               const std::optional<Address> &from,
-                               TimePoint now) {
+AcceptResult Dissemination::accept(const std::vector<LogEntry> &records,
+                                   const std::optional<Address> &from,
+                                   TimePoint now) {
   std::vector<LogEntry> applied;
   for (const auto &it : records) {
     KnownTail = std::max(KnownTail, it.Offset);
     if (applyNext(it)) {
       applied.push_back(it);
-      applyHeld(applied);
+      applyBuffered(applied);
     } else if (it.Offset > State.applied()) {
-      hold(it);
+      bufferOutOfOrder(it);
     }
   }
-  Accepted result;
+  AcceptResult result;
   result.Applied = applied.size();
   const bool answer = FetchPeer && FetchPeer == from;
-  if (!answer && Starting.ready()) {
-    result.Pushes = pushesOf(applied, from);
+  if (!answer && StartupRecovery.ready()) {
+    result.Pushes = makePushes(applied, from);
   }
   // An answer without progress leaves the deadline to tick(), which asks
   // another peer; asking the same one again would loop.
@@ -42,48 +42,49 @@
     return false;
   }
   Members.setFloor(State.applied());
-  remember(entry);
+  addRecent(entry);
   if (Observer) {
     Observer(entry);
   }
   return true;
 }
 
-void Dissemination::hold(const LogEntry &entry) {
-  Held.emplace(entry.Offset, entry);
-  if (Held.size() > DisseminationLimits::HeldRecords) {
-    Held.erase(std::prev(Held.end()));
+void Dissemination::bufferOutOfOrder(const LogEntry &entry) {
+  OutOfOrder.emplace(entry.Offset, entry);
+  if (OutOfOrder.size() > DisseminationLimits::MaxOutOfOrderRecords) {
+    OutOfOrder.erase(std::prev(OutOfOrder.end()));
   }
 }
 
-void Dissemination::applyHeld(std::vector<LogEntry> &applied) {
-  while (!Held.empty() && Held.begin()->first <= State.applied()) {
-    Held.erase(Held.begin());
+void Dissemination::applyBuffered(std::vector<LogEntry> &applied) {
+  while (!OutOfOrder.empty() && OutOfOrder.begin()->first <= State.applied()) {
+    OutOfOrder.erase(OutOfOrder.begin());
   }
-  while (!Held.empty() && applyNext(Held.begin()->second)) {
-    applied.push_back(std::move(Held.begin()->second));
-    Held.erase(Held.begin());
+  while (!OutOfOrder.empty() && applyNext(OutOfOrder.begin()->second)) {
+    applied.push_back(std::move(OutOfOrder.begin()->second));
+    OutOfOrder.erase(OutOfOrder.begin());
   }
 }
 
-void Dissemination::remember(const LogEntry &entry) {
-  Ring.push_back(entry);
-  RingBytes += entry.Bytes.size();
-  while (Ring.size() > DisseminationLimits::RingRecords ||
-         RingBytes > DisseminationLimits::RingBytes) {
-    RingBytes -= Ring.front().Bytes.size();
-    Ring.pop_front();
+void Dissemination::addRecent(const LogEntry &entry) {
+  RecentRecords.push_back(entry);
+  RecentBytes += entry.Bytes.size();
+  while (RecentRecords.size() > DisseminationLimits::MaxRecentRecords ||
+         RecentBytes > DisseminationLimits::MaxRecentBytes) {
+    RecentBytes -= RecentRecords.front().Bytes.size();
+    RecentRecords.pop_front();
   }
 }
 
-std::vector<Push> Dissemination::pushesOf(const std::vector<LogEntry> &records,
-                                          const std::optional<Address> &from) {
+std::vector<Push>
+Dissemination::makePushes(const std::vector<LogEntry> &records,
+                          const std::optional<Address> &from) {
   std::vector<Push> pushes;
   std::vector<LogEntry> message;
   std::size_t bytes = 0;
   for (const auto &it : records) {
     bytes += it.Bytes.size();
-    if (!message.empty() && bytes > DisseminationLimits::MessageBytes) {
+    if (!message.empty() && bytes > DisseminationLimits::MaxMessageBytes) {
       break;
     }
     message.push_back(it);
@@ -129,26 +130,27 @@
   return fetchFromAny(now);
 }
 
-Served Dissemination::serve(LogOffset after) const {
-  Served served;
+FetchResponse Dissemination::recordsAfter(LogOffset after) const {
+  FetchResponse response;
   if (after >= State.applied()) {
-    return served;
+    return response;
   }
-  if (Ring.empty() || raw(Ring.front().Offset) > raw(after) + 1) {
-    served.SnapshotNeeded = true;
-    return served;
+  if (RecentRecords.empty() ||
+      raw(RecentRecords.front().Offset) > raw(after) + 1) {
+    response.SnapshotNeeded = true;
+    return response;
   }
   // Offsets in the ring have no gaps.
-  const auto first = raw(after) + 1 - raw(Ring.front().Offset);
+  const auto first = raw(after) + 1 - raw(RecentRecords.front().Offset);
   std::size_t bytes = 0;
-  for (auto n = first; n < Ring.size(); ++n) {
-    bytes += Ring[n].Bytes.size();
-    if (n > first && bytes > DisseminationLimits::MessageBytes) {
+  for (auto n = first; n < RecentRecords.size(); ++n) {
+    bytes += RecentRecords[n].Bytes.size();
+    if (n > first && bytes > DisseminationLimits::MaxMessageBytes) {
       break;
     }
-    served.Records.push_back(Ring[n]);
+    response.Records.push_back(RecentRecords[n]);
   }
-  return served;
+  return response;
 }
 
 Status Dissemination::installSnapshot(std::string_view bytes) {
@@ -166,22 +168,22 @@
   State = std::move(state);
   KnownTail = std::max(KnownTail, State.applied());
   Members.setFloor(State.applied());
-  Ring.clear();
-  RingBytes = 0;
+  RecentRecords.clear();
+  RecentBytes = 0;
   FetchPeer.reset();
   std::vector<LogEntry> applied;
-  applyHeld(applied);
+  applyBuffered(applied);
   return Done{};
 }
 
 Readiness Dissemination::readiness() {
   // Asked several times a second; the view costs time in proportion to the
   // fleet, and a daemon that is ready stays so.
-  if (Starting.ready()) {
+  if (StartupRecovery.ready()) {
     return {true, {}};
   }
-  return Starting.update({State.applied(), Members.aliveCount() - 1,
-                          Members.otherAliveDataCentres()});
+  return StartupRecovery.update({State.applied(), Members.aliveCount() - 1,
+                                 Members.otherAliveDataCentres()});
 }
 
 } // namespace chivefold
--- a/src/daemon/control_service.cpp
+++ b/src/daemon/control_service.cpp
@@ -252,7 +252,7 @@
   if (!respond) {
     return;
   }
-  const auto served = Parts.Records.serve(LogOffset{fetch.after});
+  const auto served = Parts.Records.recordsAfter(LogOffset{fetch.after});
   if (served.SnapshotNeeded) {
     respond(frameBody(wire::SnapshotAnswerT()));
     return;
--- a/tests/unit/dissemination_test.cpp
+++ b/tests/unit/dissemination_test.cpp
@@ -66,7 +66,7 @@
   CHECK_FALSE(filled.Next);
   REQUIRE_FALSE(filled.Pushes.empty());
   CHECK(filled.Pushes[0].Records.size() == 3);
-  CHECK(d.Core.heldCount() == 0);
+  CHECK(d.Core.outOfOrderCount() == 0);
   const auto digest = d.State.digest();
   const auto late = d.Core.accept({e[1], e[0]}, PeerA, Start);
   CHECK(late.Applied == 0);
@@ -113,20 +113,20 @@
 // Guards against unbounded memory for records beyond a gap and for the ring,
 // and against a peer that is served records with a hole.
 TEST_CASE("held records and the ring are bounded", "[dissemination]") {
-  const auto log = makeLog(Limits::RingRecords + 10);
+  const auto log = makeLog(Limits::MaxRecentRecords + 10);
   Daemon d;
   d.Core.accept({log.Entries.begin() + 1, log.Entries.end()}, PeerA, Start);
-  CHECK(d.Core.heldCount() == Limits::HeldRecords);
+  CHECK(d.Core.outOfOrderCount() == Limits::MaxOutOfOrderRecords);
   d.Core.accept({log.Entries[0]}, PeerA, Start);
-  CHECK(raw(d.State.applied()) == Limits::HeldRecords + 1);
+  CHECK(raw(d.State.applied()) == Limits::MaxOutOfOrderRecords + 1);
   d.Core.accept(log.Entries, std::nullopt, Start);
   CHECK(raw(d.State.applied()) == log.Entries.size());
-  CHECK(d.Core.serve(LogOffset{9}).SnapshotNeeded);
-  const auto served = d.Core.serve(LogOffset{10});
-  CHECK_FALSE(served.SnapshotNeeded);
-  REQUIRE_FALSE(served.Records.empty());
-  CHECK(raw(served.Records.front().Offset) == 11);
-  CHECK(d.Core.serve(d.State.applied()).Records.empty());
+  CHECK(d.Core.recordsAfter(LogOffset{9}).SnapshotNeeded);
+  const auto response = d.Core.recordsAfter(LogOffset{10});
+  CHECK_FALSE(response.SnapshotNeeded);
+  REQUIRE_FALSE(response.Records.empty());
+  CHECK(raw(response.Records.front().Offset) == 11);
+  CHECK(d.Core.recordsAfter(d.State.applied()).Records.empty());
 }
 
 // Guards against a snapshot that takes a daemon backwards or is damaged.
