--- a/benchmark/request_path_simulation.h
+++ b/benchmark/request_path_simulation.h
@@ -271,9 +271,9 @@
     if (admission.Shed) {
       refuse(host, *admission.Shed, admission.RetryAfter);
     }
-    if (admission.Kind == Admitted::Run) {
+    if (admission.Kind == AdmissionKind::Run) {
       execute(attempt);
-    } else if (admission.Kind == Admitted::Rejected) {
+    } else if (admission.Kind == AdmissionKind::Rejected) {
       refuse(host, id, admission.RetryAfter);
     } else {
       schedule(attempt->Deadline, [this, &host] {
--- a/fuzz/claim_world.h
+++ b/fuzz/claim_world.h
@@ -609,9 +609,9 @@
       leaveGate(n, *admission.Shed,
                 {Outcome::NotRun, false, "", ErrorCode::Overloaded});
     }
-    if (admission.Kind == Admitted::Rejected) {
+    if (admission.Kind == AdmissionKind::Rejected) {
       leaveGate(n, id, {Outcome::NotRun, false, "", admission.Code});
-    } else if (admission.Kind == Admitted::Run) {
+    } else if (admission.Kind == AdmissionKind::Run) {
       execute(n, id);
     }
   }
--- a/fuzz/promise_world.h
+++ b/fuzz/promise_world.h
@@ -623,15 +623,15 @@
     if (a.Shed) {
       require(node.Queued.erase(*a.Shed) == 1, "only queued work is shed");
     }
-    if (isWrong("exceed-gate") && a.Kind == Admitted::Rejected) {
-      a.Kind = Admitted::Run;
-    } else if (isWrong("exceed-queue") && a.Kind == Admitted::Rejected) {
-      a.Kind = Admitted::Queued;
+    if (isWrong("exceed-gate") && a.Kind == AdmissionKind::Rejected) {
+      a.Kind = AdmissionKind::Run;
+    } else if (isWrong("exceed-queue") && a.Kind == AdmissionKind::Rejected) {
+      a.Kind = AdmissionKind::Queued;
     }
-    if (a.Kind == Admitted::Run) {
+    if (a.Kind == AdmissionKind::Run) {
       node.Running.insert(id);
       require(node.Running.size() <= allowed, "a gate keeps its limit");
-    } else if (a.Kind == Admitted::Queued) {
+    } else if (a.Kind == AdmissionKind::Queued) {
       node.Queued.insert(id);
     }
   }
--- a/include/chivefold/core/gate.h
+++ b/include/chivefold/core/gate.h
@@ -51,11 +51,11 @@
 /** @return "ok", "server-error", ... Thread-safe. */
 std::string_view serverResultName(ServerResult r);
 
-enum class Admitted : std::uint8_t { Run, Queued, Rejected };
+enum class AdmissionKind : std::uint8_t { Run, Queued, Rejected };
 
 /** Decision on a newcomer. */
 struct Admission {
-  Admitted Kind = Admitted::Run;
+  AdmissionKind Kind = AdmissionKind::Run;
   /** Set if rejected: Overloaded, NotReady, ConnectionFailed or
    * DeadlineExceeded. The request was certainly not run. */
   ErrorCode Code = ErrorCode::Ok;
@@ -80,9 +80,9 @@
   std::uint32_t MinWindow = 16;
   /** Share of failures in a window that halves the limit. */
   double HalveFailures = 0.5;
-  /** Pause after a failed connection, doubling up to MaxPause. */
-  Duration FirstPause = std::chrono::milliseconds(50);
-  Duration MaxPause = std::chrono::milliseconds(1000);
+  /** Pause after a failed connection, doubling up to MaxBackOff. */
+  Duration InitialBackOff = std::chrono::milliseconds(50);
+  Duration MaxBackOff = std::chrono::milliseconds(1000);
 };
 
 /**
@@ -142,7 +142,7 @@
       return Worth != o.Worth ? Worth > o.Worth : Sequence < o.Sequence;
     }
   };
-  struct Waiting {
+  struct QueuedRequest {
     GateRequestId Id;
     TimePoint Deadline;
   };
@@ -153,16 +153,16 @@
     double LatencySum = 0;
     std::uint32_t PeakInFlight = 0;
   };
-  static constexpr std::size_t MaxLevels = 64;
+  static constexpr std::size_t MaxBaselines = 64;
 
   Admission enqueue(const GateRequest &request, TimePoint now);
   Admission reject(ErrorCode code, std::size_t ahead) const;
-  GateRequestId dropLast();
+  GateRequestId evictLast();
   std::vector<GateRequestId> runQueued(TimePoint now);
-  void learn(ServerResult result, double latency, TimePoint now);
-  void learnLatency(double latency);
+  void recordResult(ServerResult result, double latency, TimePoint now);
+  void updateSmoothedLatency(double latency);
   void connectionFailed(TimePoint now);
-  void judgeWindow();
+  void evaluateWindow();
   void setLimit(std::uint32_t limit);
   double baseline() const;
   void updateBaseline(double mean);
@@ -174,21 +174,21 @@
   std::uint32_t Limit;
   bool Leaving = false;
   /** Bounded by Limits.Queue; overflow sheds. */
-  std::map<QueueKey, Waiting> Queue;
+  std::map<QueueKey, QueuedRequest> Queue;
   std::unordered_map<GateRequestId, QueueKey> QueuedIds;
   /** Bounded by Limits.Slots. */
   std::unordered_map<GateRequestId, std::uint64_t> Running;
   std::uint64_t NextSequence = 1;
   /** Requests started before this sequence number ran under another limit
    * and say nothing about the current one. */
-  std::uint64_t LimitSince = 0;
-  Window Current;
+  std::uint64_t LimitSetAt = 0;
+  Window CurrentWindow;
   /** Low latency in microseconds per limit level; 0 means "not known". */
-  std::vector<double> Levels;
-  double Smoothed = 0;
+  std::vector<double> Baselines;
+  double SmoothedLatencyUs = 0;
   std::uint32_t RecentCalls = 0;
-  Duration Pause{};
-  TimePoint PausedUntil{};
+  Duration BackOff{};
+  TimePoint BackOffUntil{};
 };
 
 } // namespace chivefold
--- a/include/chivefold/mesh/slot_gate.h
+++ b/include/chivefold/mesh/slot_gate.h
@@ -33,7 +33,7 @@
 
 /** Decision on a newcomer; one that is refused was certainly not run. */
 struct SlotOffer {
-  Admitted Kind = Admitted::Run;
+  AdmissionKind Kind = AdmissionKind::Run;
   ErrorCode Code = ErrorCode::Ok;
   /** For Rejected: when the caller may try this server again. */
   Duration RetryAfter{};
--- a/src/core/gate.cpp
+++ b/src/core/gate.cpp
@@ -20,19 +20,19 @@
  * count. */
 constexpr double SmoothingWeight = 0.2;
 /** Calls after a change of the limit before the smoothed latency is judged. */
-constexpr std::uint32_t MinRecentCalls = 5;
+constexpr std::uint32_t MinCallsAfterChange = 5;
 /** A level's baseline follows lower window means faster than higher ones, so it
  * settles at a low percentile of them. */
-constexpr double BaselineFall = 0.1;
-constexpr double BaselineRise = 0.02;
+constexpr double BaselineFallWeight = 0.1;
+constexpr double BaselineRiseWeight = 0.02;
 /** At the cold limit the load cannot be the cause of a higher latency, so a
  * server that has become slower for good is accepted within about 30 windows.
  */
-constexpr double ColdBaselineRise = 0.05;
+constexpr double ColdBaselineRiseWeight = 0.05;
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(20);
 constexpr Duration MaxRetryAfter = std::chrono::milliseconds(1000);
 
-ServerLimits sane(ServerLimits limits) {
+ServerLimits clampLimits(ServerLimits limits) {
   // Each running request has a connection of its own.
   limits.Slots = std::clamp(limits.Slots, 1U, std::max(1U, limits.Connections));
   limits.ColdSlots = std::clamp(limits.ColdSlots, 1U, limits.Slots);
@@ -46,15 +46,15 @@
 }
 
 Gate::Gate(const ServerLimits &limits, const GateTuning &tuning)
-    : Limits(sane(limits)), Tuning(tuning), Limit(Limits.ColdSlots),
-      Levels(MaxLevels, 0.0) {}
+    : Limits(clampLimits(limits)), Tuning(tuning), Limit(Limits.ColdSlots),
+      Baselines(MaxBaselines, 0.0) {}
 
 std::vector<GateRequestId> Gate::setLimits(const ServerLimits &limits) {
-  Limits = sane(limits);
+  Limits = clampLimits(limits);
   setLimit(std::clamp(Limit, Limits.ColdSlots, Limits.Slots));
   std::vector<GateRequestId> dropped;
   while (Queue.size() > Limits.Queue) {
-    dropped.push_back(dropLast());
+    dropped.push_back(evictLast());
   }
   return dropped;
 }
@@ -67,9 +67,9 @@
   if (request.Deadline <= now) {
     return reject(ErrorCode::DeadlineExceeded, Queue.size());
   }
-  if (now < PausedUntil) {
+  if (now < BackOffUntil) {
     auto refusal = reject(ErrorCode::ConnectionFailed, 0);
-    refusal.RetryAfter = PausedUntil - now;
+    refusal.RetryAfter = BackOffUntil - now;
     return refusal;
   }
   if (Running.size() < Limit && Queue.empty()) {
@@ -80,10 +80,10 @@
 }
 
 Admission Gate::reject(ErrorCode code, std::size_t ahead) const {
-  return {Admitted::Rejected, code, retryAfter(ahead), std::nullopt};
+  return {AdmissionKind::Rejected, code, retryAfter(ahead), std::nullopt};
 }
 
-GateRequestId Gate::dropLast() {
+GateRequestId Gate::evictLast() {
   const auto last = std::prev(Queue.end());
   const auto id = last->second.Id;
   QueuedIds.erase(id);
@@ -101,24 +101,25 @@
   // caller still has time to try elsewhere.
   const auto ahead = static_cast<std::size_t>(
       std::distance(Queue.begin(), Queue.lower_bound(key)));
-  const double wait = Smoothed * static_cast<double>(ahead + 1) / Limit;
+  const double wait =
+      SmoothedLatencyUs * static_cast<double>(ahead + 1) / Limit;
   if (wait > static_cast<double>((request.Deadline - now).count())) {
     return reject(ErrorCode::Overloaded, ahead);
   }
-  Admission admission{Admitted::Queued, ErrorCode::Ok, {}, std::nullopt};
+  Admission admission{AdmissionKind::Queued, ErrorCode::Ok, {}, std::nullopt};
   if (full) {
-    admission.Shed = dropLast();
+    admission.Shed = evictLast();
     admission.RetryAfter = retryAfter(Queue.size());
   }
-  Queue.emplace(key, Waiting{request.Id, request.Deadline});
+  Queue.emplace(key, QueuedRequest{request.Id, request.Deadline});
   QueuedIds.emplace(request.Id, key);
   return admission;
 }
 
 void Gate::start(GateRequestId id) {
   Running.emplace(id, NextSequence++);
-  Current.PeakInFlight = std::max(Current.PeakInFlight,
-                                  static_cast<std::uint32_t>(Running.size()));
+  CurrentWindow.PeakInFlight = std::max(
+      CurrentWindow.PeakInFlight, static_cast<std::uint32_t>(Running.size()));
 }
 
 std::vector<GateRequestId> Gate::finish(GateRequestId id, ServerResult result,
@@ -127,12 +128,12 @@
   if (it == Running.end()) {
     return {};
   }
-  const bool isCurrent = it->second >= LimitSince;
+  const bool ranUnderLimit = it->second >= LimitSetAt;
   Running.erase(it);
   if (result == ServerResult::ConnectionFailed) {
     connectionFailed(now);
-  } else if (isCurrent) {
-    learn(result, static_cast<double>(latency.count()), now);
+  } else if (ranUnderLimit) {
+    recordResult(result, static_cast<double>(latency.count()), now);
   }
   return runQueued(now);
 }
@@ -154,76 +155,79 @@
 
 void Gate::connectionFailed(TimePoint now) {
   // Requests that were in flight at one crash fail together and count once.
-  if (now >= PausedUntil) {
-    Pause = std::clamp(Pause * 2, Tuning.FirstPause, Tuning.MaxPause);
-    PausedUntil = now + Pause;
+  if (now >= BackOffUntil) {
+    BackOff = std::clamp(BackOff * 2, Tuning.InitialBackOff, Tuning.MaxBackOff);
+    BackOffUntil = now + BackOff;
   }
   // The server that comes back may be another version with another latency.
-  std::fill(Levels.begin(), Levels.end(), 0.0);
+  std::fill(Baselines.begin(), Baselines.end(), 0.0);
   setLimit(Limits.ColdSlots);
 }
 
-void Gate::learn(ServerResult result, double latency, TimePoint now) {
+void Gate::recordResult(ServerResult result, double latency, TimePoint now) {
   switch (result) {
   case ServerResult::Ok:
-    Pause = Duration::zero();
-    PausedUntil = std::min(PausedUntil, now);
-    ++Current.Successes;
-    Current.LatencySum += latency;
-    learnLatency(latency);
+    BackOff = Duration::zero();
+    BackOffUntil = std::min(BackOffUntil, now);
+    ++CurrentWindow.Successes;
+    CurrentWindow.LatencySum += latency;
+    updateSmoothedLatency(latency);
     break;
   case ServerResult::TimedOut:
-    ++Current.Failures;
+    ++CurrentWindow.Failures;
     // The true latency is at least this.
-    learnLatency(std::max(latency, Smoothed));
+    updateSmoothedLatency(std::max(latency, SmoothedLatencyUs));
     break;
   case ServerResult::ServerError:
     // Says nothing about latency: errors are often fast.
-    ++Current.Failures;
+    ++CurrentWindow.Failures;
     break;
   case ServerResult::ConnectionFailed:
   case ServerResult::Cancelled:
     return;
   }
   const double base = baseline();
-  if (Limit > Limits.ColdSlots && base > 0 && RecentCalls >= MinRecentCalls &&
-      Smoothed > Tuning.ColdFactor * base) {
+  if (Limit > Limits.ColdSlots && base > 0 &&
+      RecentCalls >= MinCallsAfterChange &&
+      SmoothedLatencyUs > Tuning.ColdFactor * base) {
     setLimit(Limits.ColdSlots);
     return;
   }
-  judgeWindow();
+  evaluateWindow();
 }
 
-void Gate::learnLatency(double latency) {
-  Smoothed = RecentCalls == 0
-                 ? latency
-                 : Smoothed + SmoothingWeight * (latency - Smoothed);
+void Gate::updateSmoothedLatency(double latency) {
+  SmoothedLatencyUs =
+      RecentCalls == 0
+          ? latency
+          : SmoothedLatencyUs + SmoothingWeight * (latency - SmoothedLatencyUs);
   ++RecentCalls;
 }
 
-void Gate::judgeWindow() {
-  const auto calls = Current.Successes + Current.Failures;
+void Gate::evaluateWindow() {
+  const auto calls = CurrentWindow.Successes + CurrentWindow.Failures;
   const auto needed = std::max(Tuning.MinWindow, Limit);
   if (calls < needed) {
     return;
   }
-  const double failures = static_cast<double>(Current.Failures) / calls;
+  const double failures = static_cast<double>(CurrentWindow.Failures) / calls;
   if (failures >= Tuning.HalveFailures) {
     setLimit(std::max(Limits.ColdSlots, Limit / 2));
     return;
   }
-  if (Current.Successes < needed) {
+  if (CurrentWindow.Successes < needed) {
     return;
   }
-  const double mean = Current.LatencySum / Current.Successes;
+  const double mean = CurrentWindow.LatencySum / CurrentWindow.Successes;
   const double base = baseline();
-  const bool isUsed = Current.PeakInFlight >= Limit;
+  const bool isLimitReached = CurrentWindow.PeakInFlight >= Limit;
   updateBaseline(mean);
-  Current = {};
-  Current.PeakInFlight = static_cast<std::uint32_t>(Running.size());
+  CurrentWindow = {};
+  CurrentWindow.PeakInFlight = static_cast<std::uint32_t>(Running.size());
   if (base > 0 && mean > Tuning.HalveFactor * base) {
     setLimit(std::max(Limits.ColdSlots, Limit / 2));
-  } else if (isUsed && (base == 0 || mean <= Tuning.GrowFactor * base)) {
+  } else if (isLimitReached &&
+             (base == 0 || mean <= Tuning.GrowFactor * base)) {
     // Only a limit that was reached has shown that the server can bear it.
     setLimit(std::min(Limits.Slots, Limit + 1));
   }
@@ -236,44 +240,46 @@
   if (limit < Limit) {
     RecentCalls = 0;
   }
-  LimitSince = NextSequence;
+  LimitSetAt = NextSequence;
   Limit = limit;
-  Current = {};
-  Current.PeakInFlight = static_cast<std::uint32_t>(Running.size());
+  CurrentWindow = {};
+  CurrentWindow.PeakInFlight = static_cast<std::uint32_t>(Running.size());
 }
 
 double Gate::baseline() const {
-  double low = 0;
-  for (const auto it : Levels) {
-    low = it > 0 && (low == 0 || it < low) ? it : low;
+  double lowest = 0;
+  for (const auto it : Baselines) {
+    lowest = it > 0 && (lowest == 0 || it < lowest) ? it : lowest;
   }
-  return low;
+  return lowest;
 }
 
 void Gate::updateBaseline(double mean) {
-  auto &own = Levels[std::min<std::size_t>(Limit, MaxLevels - 1)];
-  if (own == 0) {
-    own = mean;
+  auto &levelBaseline =
+      Baselines[std::min<std::size_t>(Limit, MaxBaselines - 1)];
+  if (levelBaseline == 0) {
+    levelBaseline = mean;
     return;
   }
-  if (mean <= own) {
-    own += BaselineFall * (mean - own);
+  if (mean <= levelBaseline) {
+    levelBaseline += BaselineFallWeight * (mean - levelBaseline);
     return;
   }
   if (Limit > Limits.ColdSlots) {
-    own += BaselineRise * (mean - own);
+    levelBaseline += BaselineRiseWeight * (mean - levelBaseline);
     return;
   }
-  const double low = baseline();
-  const double lift = 1 + ColdBaselineRise * std::max(0.0, mean / low - 1);
-  for (auto &it : Levels) {
-    it *= lift;
+  const double lowest = baseline();
+  const double scale =
+      1 + ColdBaselineRiseWeight * std::max(0.0, mean / lowest - 1);
+  for (auto &it : Baselines) {
+    it *= scale;
   }
 }
 
 Duration Gate::retryAfter(std::size_t ahead) const {
   const Duration wait(static_cast<Duration::rep>(
-      Smoothed * static_cast<double>(ahead + 1) / Limit));
+      SmoothedLatencyUs * static_cast<double>(ahead + 1) / Limit));
   return std::clamp(wait, MinRetryAfter, MaxRetryAfter);
 }
 
@@ -314,7 +320,7 @@
   Leaving = true;
   std::vector<GateRequestId> dropped;
   while (!Queue.empty()) {
-    dropped.push_back(dropLast());
+    dropped.push_back(evictLast());
   }
   return dropped;
 }
@@ -331,7 +337,7 @@
 }
 
 Duration Gate::smoothedLatency() const {
-  return Duration(static_cast<Duration::rep>(Smoothed));
+  return Duration(static_cast<Duration::rep>(SmoothedLatencyUs));
 }
 
 } // namespace chivefold
--- a/src/daemon/gate_service.cpp
+++ b/src/daemon/gate_service.cpp
@@ -49,9 +49,9 @@
   if (admission.Shed) {
     reject(*admission.Shed, ErrorCode::Overloaded, admission.RetryAfter);
   }
-  if (admission.Kind == Admitted::Rejected) {
+  if (admission.Kind == AdmissionKind::Rejected) {
     reject(id, admission.Code, admission.RetryAfter);
-  } else if (admission.Kind == Admitted::Run) {
+  } else if (admission.Kind == AdmissionKind::Run) {
     startRunning(id);
   }
   armTimer();
--- a/src/mesh/slot_gate.cpp
+++ b/src/mesh/slot_gate.cpp
@@ -85,7 +85,7 @@
 }
 
 SlotOffer SlotGate::refuse(ErrorCode code, Duration wait) const {
-  return {Admitted::Rejected, code,
+  return {AdmissionKind::Rejected, code,
           std::clamp(wait, Tuning.MinRetryAfter, Tuning.MaxRetryAfter)};
 }
 
@@ -151,7 +151,7 @@
   Queue.emplace(key,
                 Waiting{work.Id, work.Deadline, work.InTimeUntil, work.Route});
   QueuedIds.emplace(work.Id, key);
-  return {Admitted::Queued, ErrorCode::Ok, {}};
+  return {AdmissionKind::Queued, ErrorCode::Ok, {}};
 }
 
 // Puts what can no longer be answered by its target behind the rest.
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -190,7 +190,7 @@
   const auto offer =
       Gate.offer({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
                  Loop.now());
-  if (offer.Kind == Admitted::Rejected) {
+  if (offer.Kind == AdmissionKind::Rejected) {
     refuse(reply, offer.Code, offer.RetryAfter);
     return id;
   }
@@ -199,7 +199,7 @@
   entry.Reply = std::move(reply);
   entry.IsWanted = std::move(stillWanted);
   entry.Digest = digest;
-  if (offer.Kind == Admitted::Run) {
+  if (offer.Kind == AdmissionKind::Run) {
     send(id);
   } else {
     armTimer();
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -20,25 +20,25 @@
 
 /** A server whose capacity grows with the work it has done. Above its capacity
  * it slows down; far above it, it breaks. */
-struct ColdServer {
+struct SimulatedServer {
   double Cold = 1;
   double Slots = 10;
   double WorkToWarm = 100;
   double Work = 0;
   int InFlight = 0;
-  double WorstLoad = 0;
-  int Overloads = 0;
+  double PeakLoadRatio = 0;
+  int OverloadCount = 0;
 
   double capacity() const {
     return Cold + (Slots - Cold) * std::min(1.0, Work / WorkToWarm);
   }
-  double bearable() const { return 1.5 * capacity() + 1; }
+  double maxTolerableLoad() const { return 1.5 * capacity() + 1; }
   Duration start(double jitter) {
     ++InFlight;
-    WorstLoad = std::max(WorstLoad, InFlight / bearable());
-    Overloads += InFlight > bearable() ? 1 : 0;
-    const double slow = std::max(1.0, InFlight / capacity());
-    return Duration(static_cast<int>(20000 * slow * jitter));
+    PeakLoadRatio = std::max(PeakLoadRatio, InFlight / maxTolerableLoad());
+    OverloadCount += InFlight > maxTolerableLoad() ? 1 : 0;
+    const double slowdown = std::max(1.0, InFlight / capacity());
+    return Duration(static_cast<int>(20000 * slowdown * jitter));
   }
   void finish() {
     --InFlight;
@@ -53,10 +53,10 @@
   bool operator<(const Event &o) const { return At > o.At; }
 };
 
-/** Offers @p perSecond requests for @p length; @p coldAgain makes the server
+/** Offers @p perSecond requests for @p length; @p turnsCold makes the server
  * cold halfway. @return the lowest limit of the second half. */
-std::uint32_t drive(Gate &gate, ColdServer &server, double perSecond,
-                    Duration length, bool coldAgain, unsigned seed) {
+std::uint32_t simulate(Gate &gate, SimulatedServer &server, double perSecond,
+                       Duration length, bool turnsCold, unsigned seed) {
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> jitter(0.85, 1.15);
   std::priority_queue<Event> events;
@@ -82,12 +82,12 @@
     if (now >= T0 + length / 2) {
       lowest = std::min(lowest, gate.state().Limit);
     }
-    if (coldAgain && now >= T0 + length / 2) {
+    if (turnsCold && now >= T0 + length / 2) {
       server.Work = 0;
-      coldAgain = false;
+      turnsCold = false;
     }
     if (gate.admit({static_cast<GateRequestId>(++id), 1, now + 1s, false}, now)
-            .Kind == Admitted::Run) {
+            .Kind == AdmissionKind::Run) {
       run(id, now);
     }
   }
@@ -106,7 +106,7 @@
     Gate gate(limits);
     std::set<std::uint64_t> running;
     std::set<std::uint64_t> queued;
-    const auto leave = [&](const std::vector<GateRequestId> &ids) {
+    const auto removeQueued = [&](const std::vector<GateRequestId> &ids) {
       for (const auto id : ids) {
         RC_ASSERT(queued.erase(static_cast<std::uint64_t>(id)) == 1U);
       }
@@ -123,14 +123,14 @@
         const auto id = ++last;
         const auto admission = gate.admit(
             {static_cast<GateRequestId>(id), step % 5, now + 30ms, false}, now);
-        if (admission.Kind == Admitted::Run) {
+        if (admission.Kind == AdmissionKind::Run) {
           running.insert(id);
           RC_ASSERT(running.size() <= limitBefore);
-        } else if (admission.Kind == Admitted::Queued) {
+        } else if (admission.Kind == AdmissionKind::Queued) {
           queued.insert(id);
         }
         if (admission.Shed) {
-          leave({*admission.Shed});
+          removeQueued({*admission.Shed});
         }
       } else if (!running.empty()) {
         const auto id = *running.begin();
@@ -138,13 +138,13 @@
         const auto ids = gate.finish(static_cast<GateRequestId>(id),
                                      static_cast<ServerResult>(step / 3 % 5),
                                      Duration(step % 90000), now);
-        leave(ids);
+        removeQueued(ids);
         for (const auto it : ids) {
           running.insert(static_cast<std::uint64_t>(it));
         }
         RC_ASSERT(ids.empty() || running.size() <= gate.state().Limit);
       }
-      leave(gate.expire(now));
+      removeQueued(gate.expire(now));
       RC_ASSERT(queued.size() <= limits.Queue);
       RC_ASSERT(gate.state().Limit <= limits.Slots);
       RC_ASSERT(gate.state().InFlight == running.size());
@@ -157,7 +157,7 @@
 // a limit that never reaches the slots once the server is warm.
 TEST_CASE("a cold server is warmed up within what it bears", "[gate]") {
   CHECK(rc::check([] {
-    ColdServer server;
+    SimulatedServer server;
     server.Cold = *rc::gen::inRange(1, 4);
     server.Slots = *rc::gen::inRange(4, 25);
     server.WorkToWarm = *rc::gen::inRange(20, 2000);
@@ -166,9 +166,9 @@
     Gate gate(limits);
     const double full = server.Slots * 50;
     const auto percent = *rc::gen::inRange(110, 500);
-    drive(gate, server, full * percent / 100, 60s, false,
-          *rc::gen::inRange(1U, 1000U));
-    RC_ASSERT(server.WorstLoad <= 1.0);
+    simulate(gate, server, full * percent / 100, 60s, false,
+             *rc::gen::inRange(1U, 1000U));
+    RC_ASSERT(server.PeakLoadRatio <= 1.0);
     RC_ASSERT(gate.state().Limit == limits.Slots);
   }));
 }
@@ -179,7 +179,7 @@
   tuning.MinWindow = 1;
   Gate gate({4, 100, 20, 2}, tuning);
   const auto start = [&gate](std::uint64_t id) {
-    REQUIRE(gate.admit(request(id, 1), T0).Kind == Admitted::Run);
+    REQUIRE(gate.admit(request(id, 1), T0).Kind == AdmissionKind::Run);
   };
   const auto limitAfter = [&gate](std::uint64_t id) {
     gate.finish(static_cast<GateRequestId>(id), ServerResult::Ok, 10ms, T0);
@@ -201,31 +201,31 @@
 
 // Guards against a server that turns cold under full load and is kept there.
 TEST_CASE("a sudden cold turn falls back to the cold limit", "[gate]") {
-  ColdServer server;
+  SimulatedServer server;
   server.Slots = 20;
   server.WorkToWarm = 300;
   Gate gate({20, 100, 20, 1});
-  const auto lowest = drive(gate, server, 1200, 60s, true, 1);
+  const auto lowest = simulate(gate, server, 1200, 60s, true, 1);
   CHECK(lowest == 1);
   // Until the first slow answer nothing shows the turn, so one set of slots is
   // started, and no second one.
-  CHECK(server.Overloads <= 20 + 5);
+  CHECK(server.OverloadCount <= 20 + 5);
   CHECK(gate.state().Limit == 20);
 }
 
 // Guards against shedding valuable work for work that is worth less.
 TEST_CASE("a full queue sheds the lowest worth, newest first", "[gate]") {
   Gate gate({1, 100, 2, 1});
-  CHECK(gate.admit(request(1, 1), T0).Kind == Admitted::Run);
-  CHECK(gate.admit(request(2, 5), T0).Kind == Admitted::Queued);
-  CHECK(gate.admit(request(3, 5), T0).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(1, 1), T0).Kind == AdmissionKind::Run);
+  CHECK(gate.admit(request(2, 5), T0).Kind == AdmissionKind::Queued);
+  CHECK(gate.admit(request(3, 5), T0).Kind == AdmissionKind::Queued);
   const auto equal = gate.admit(request(4, 5), T0);
-  CHECK(equal.Kind == Admitted::Rejected);
+  CHECK(equal.Kind == AdmissionKind::Rejected);
   CHECK(equal.Code == ErrorCode::Overloaded);
   CHECK(equal.RetryAfter > Duration::zero());
-  CHECK(gate.admit(request(5, 4), T0).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(5, 4), T0).Kind == AdmissionKind::Rejected);
   const auto better = gate.admit(request(6, 9), T0);
-  CHECK(better.Kind == Admitted::Queued);
+  CHECK(better.Kind == AdmissionKind::Queued);
   CHECK(better.Shed == static_cast<GateRequestId>(3));
   const auto next =
       gate.finish(static_cast<GateRequestId>(1), ServerResult::Ok, 5ms, T0);
@@ -244,7 +244,8 @@
             .empty());
   CHECK(gate.expire(T0 + 60ms).size() == 1);
   gate.admit(request(3, 1), T0 + 60ms);
-  CHECK(gate.admit(request(4, 1, 80ms), T0 + 60ms).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(4, 1, 80ms), T0 + 60ms).Kind ==
+        AdmissionKind::Rejected);
 }
 
 // Guards against a planned stop that interrupts running work or takes new work.
@@ -260,10 +261,10 @@
 
 // Guards against full load on a server that has just restarted after a crash.
 TEST_CASE("a failed connection falls back to the cold limit", "[gate]") {
-  ColdServer server;
+  SimulatedServer server;
   server.WorkToWarm = 50;
   Gate gate({10, 100, 20, 2});
-  drive(gate, server, 600, 10s, false, 1);
+  simulate(gate, server, 600, 10s, false, 1);
   REQUIRE(gate.state().Limit == 10);
   // Lets one of those in flight fail; drive() numbers requests from 1.
   const TimePoint now = T0 + 10s;
@@ -287,7 +288,7 @@
   limits.Connections = 3;
   Gate gate(limits);
   for (std::uint64_t n = 1; n <= 5; ++n) {
-    const auto expected = n <= 3 ? Admitted::Run : Admitted::Queued;
+    const auto expected = n <= 3 ? AdmissionKind::Run : AdmissionKind::Queued;
     CHECK(gate.admit(request(n, 1), T0).Kind == expected);
   }
 }
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -52,7 +52,7 @@
           const SlotWork work{
               GateRequestId{id}, kind.Priority, at(ms + kind.DeadlineMs),
               "r" + std::to_string(r.Kind), at(ms + kind.TargetMs)};
-          return gate.offer(work, at(ms)).Kind == Admitted::Run;
+          return gate.offer(work, at(ms)).Kind == AdmissionKind::Run;
         },
         [&](std::uint64_t id, const Request &r, std::int64_t ms) {
           gate.finished(GateRequestId{id}, milliseconds(ms - r.StartedMs));
@@ -243,15 +243,15 @@
   };
   std::uint64_t id = 0;
   while (id < 4) {
-    CHECK(gate.offer(work(++id, 200), at(0)).Kind == Admitted::Run);
+    CHECK(gate.offer(work(++id, 200), at(0)).Kind == AdmissionKind::Run);
   }
   // Late on arrival: two wait, further ones are refused at once.
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.offer(work(++id, 10), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.offer(work(++id, 10), at(0)).Kind == AdmissionKind::Queued);
+  CHECK(gate.offer(work(++id, 10), at(0)).Kind == AdmissionKind::Queued);
+  CHECK(gate.offer(work(++id, 10), at(0)).Kind == AdmissionKind::Rejected);
   // Those in time still find room, and are refused once they will be late.
   while (id < 11) {
-    CHECK(gate.offer(work(++id, 300), at(0)).Kind == Admitted::Queued);
+    CHECK(gate.offer(work(++id, 300), at(0)).Kind == AdmissionKind::Queued);
   }
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(290)).size() == 4);
--- a/tests/unit/slot_gate_test.cpp
+++ b/tests/unit/slot_gate_test.cpp
@@ -22,11 +22,11 @@
 // they cannot queue.
 TEST_CASE("concurrency stays within the slots", "[slot_gate]") {
   SlotGate gate;
-  CHECK(gate.offer(work(1), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.offer(work(1), at(0)).Kind == AdmissionKind::Rejected);
   gate.open(2, 0);
-  CHECK(gate.offer(work(1), at(0)).Kind == Admitted::Run);
-  CHECK(gate.offer(work(2), at(0)).Kind == Admitted::Run);
-  CHECK(gate.offer(work(3), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.offer(work(1), at(0)).Kind == AdmissionKind::Run);
+  CHECK(gate.offer(work(2), at(0)).Kind == AdmissionKind::Run);
+  CHECK(gate.offer(work(3), at(0)).Kind == AdmissionKind::Queued);
   CHECK(gate.start(at(1)).empty());
   gate.finished(GateRequestId{1}, milliseconds(10));
   CHECK(gate.start(at(2)) == std::vector<GateRequestId>{GateRequestId{3}});
@@ -65,7 +65,7 @@
     gate.offer(work(++id, 0, ms + 60), at(ms));
     if (ms % 60 == 0) {
       const auto offer = gate.offer(work(++id, 2, ms + 500), at(ms));
-      if (offer.Kind == Admitted::Queued) {
+      if (offer.Kind == AdmissionKind::Queued) {
         lessUrgentIds.push_back(id);
       }
     }
@@ -89,10 +89,10 @@
   gate.finished(GateRequestId{1}, milliseconds(100));
   gate.offer(work(2), at(0));
   const auto offer = gate.offer(work(3, 1, 60), at(0));
-  CHECK(offer.Kind == Admitted::Rejected);
+  CHECK(offer.Kind == AdmissionKind::Rejected);
   CHECK(offer.Code == ErrorCode::Overloaded);
   CHECK(offer.RetryAfter > Duration::zero());
-  CHECK(gate.offer(work(4, 1, 400), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.offer(work(4, 1, 400), at(0)).Kind == AdmissionKind::Queued);
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(350)) == std::vector<GateRequestId>{GateRequestId{4}});
 }
@@ -112,7 +112,7 @@
   offer(2, 1, 5000);
   for (const auto &it :
        {offer(3, 2, 200), offer(4, 0, 300), offer(5, 1, 400)}) {
-    REQUIRE(it.Kind == Admitted::Queued);
+    REQUIRE(it.Kind == AdmissionKind::Queued);
   }
   std::vector<GateRequestId> seen;
   for (const auto ms : {150, 250, 350, 450}) {
@@ -142,7 +142,7 @@
   std::uint64_t id = 0;
   for (std::int64_t ms = 0; ms < 3000; ms += 5) {
     const auto offer = gate.offer(work(++id), at(ms));
-    if (offer.Kind == Admitted::Run) {
+    if (offer.Kind == AdmissionKind::Run) {
       starts.push_back(ms);
     }
     for (const auto it : gate.start(at(ms))) {
