--- a/benchmark/dissemination.cpp
+++ b/benchmark/dissemination.cpp
@@ -182,7 +182,7 @@
     const auto self = All[n]->Members.self();
     send(probeBytes(self, updates), [this, n, to, wantsAck, self, updates] {
       auto &d = *All[to];
-      d.Members.heardFrom(self, Now);
+      d.Members.mergeFromSender(self, Now);
       for (const auto &it : updates) {
         d.Members.merge(it, Now);
       }
--- a/include/chivefold/core/member_table.h
+++ b/include/chivefold/core/member_table.h
@@ -54,18 +54,18 @@
 struct MembershipLimits {
   static constexpr std::size_t MaxMembers = 8192;
   static constexpr std::size_t MaxUpdatesPerMessage = 16;
-  static constexpr std::size_t Readers = 3;
-  static constexpr std::size_t ProbeHelpers = 3;
+  static constexpr std::size_t ReadersPerDataCentre = 3;
+  static constexpr std::size_t IndirectProbers = 3;
   static constexpr Duration ProbeInterval = std::chrono::seconds(1);
   /** Every n-th probe tries an unreachable member, so that a healed partition
    * is noticed. */
   static constexpr std::uint64_t UnreachableProbeEvery = 8;
   static constexpr Duration SuspicionTimeout = std::chrono::seconds(4);
   static constexpr Duration DeadRetention = std::chrono::hours(2);
-  static constexpr Duration MassWindow = std::chrono::seconds(10);
+  static constexpr Duration MassSuspicionWindow = std::chrono::seconds(10);
   /** Suspicion of fewer members than this is never treated as mass suspicion,
    * since one member can be a quarter of a small data centre. */
-  static constexpr std::size_t MassMinimum = 3;
+  static constexpr std::size_t MassSuspicionMinimum = 3;
 };
 
 /**
@@ -100,7 +100,7 @@
    * @return the entry to send back to it, if this table holds one that it must
    * refute (suspected, or of an earlier run with a higher incarnation).
    */
-  std::optional<Member> heardFrom(const Member &sender, TimePoint now);
+  std::optional<Member> mergeFromSender(const Member &sender, TimePoint now);
 
   /** Handles expired suspicions and forgets members that are dead for
    * DeadRetention. Call about once a second. */
@@ -111,8 +111,8 @@
    * at most two rounds. */
   std::optional<Address> nextProbe(TimePoint now);
 
-  /** @return up to ProbeHelpers live members for an indirect probe. */
-  std::vector<Address> probeHelpers(const Address &target);
+  /** @return up to IndirectProbers live members for an indirect probe. */
+  std::vector<Address> indirectProbers(const Address &target);
 
   /** Neither the probe nor the indirect probes were answered: suspects the
    * member, or marks it unreachable without gossip in a mass suspicion. */
@@ -142,7 +142,7 @@
   std::size_t aliveCount() const;
 
   /** @return how many data centres have an alive member other than this one. */
-  std::size_t otherAliveDataCentres() const;
+  std::size_t otherAliveDataCentreCount() const;
 
   /** @return the highest floor known for the daemon at @p address. */
   LogOffset floorOf(const Address &address) const;
@@ -163,13 +163,13 @@
 private:
   struct Entry {
     Member Value;
-    std::uint64_t Weight = 0;
+    std::uint64_t RendezvousWeight = 0;
     /** Suspect: when it becomes unreachable. Dead: when it is forgotten. */
     TimePoint Deadline{};
     /** Unreachable by mass suspicion, which was not gossiped. */
-    bool Quiet = false;
+    bool UnreachableLocally = false;
     /** Was already dead when this daemon first heard of it. */
-    bool SecondHand = false;
+    bool FirstHeardDead = false;
   };
   struct Update {
     std::uint32_t Transmissions = 0;
@@ -179,21 +179,21 @@
 
   bool mergeSelf(const Member &update);
   bool insert(const Member &update, TimePoint now);
-  void adopt(Entry &entry, const Member &update, TimePoint now);
+  void applyUpdate(Entry &entry, const Member &update, TimePoint now);
   void setState(Entry &entry, MemberState state, TimePoint now);
   void suspect(Entry &entry, TimePoint now);
-  bool isMass(const std::string &dataCentre, TimePoint now);
+  bool isMassSuspicion(const std::string &dataCentre, TimePoint now);
   void markMassUnreachable(const std::string &dataCentre, TimePoint now);
   bool evictDead();
-  void enqueue(const Address &address);
+  void enqueueUpdate(const Address &address);
   std::uint32_t maxTransmissions() const;
-  void reshuffle();
-  std::optional<Address> unreachableProbe();
+  void reshuffleProbeOrder();
+  std::optional<Address> randomUnreachableMember();
   std::vector<const Member *> aliveOthers() const;
   std::vector<Address> sample(std::vector<const Member *> from, std::size_t n);
 
   Member Self;
-  std::uint64_t SelfWeight;
+  std::uint64_t SelfRendezvousWeight;
   std::uint64_t Revision = 1;
   /** Result of isReader() at ReaderRevision: it is asked several times a
    * second, and ranking 4,100 members for each question costs more than all
@@ -204,13 +204,13 @@
   MemberMap Members;
   /** At most one per member and this daemon. */
   std::map<Address, Update> Updates;
-  std::uint64_t UpdateOrder = 0;
+  std::uint64_t NextUpdateOrder = 0;
   std::vector<Address> ProbeOrder;
   std::size_t ProbePosition = 0;
   std::uint64_t Probes = 0;
   TimePoint NextProbe{};
-  /** Times of suspicions within MassWindow by data centre; at most MaxMembers
-   * each, older ones are dropped. */
+  /** Times of suspicions within MassSuspicionWindow by data centre; at most
+   * MaxMembers each, older ones are dropped. */
   std::map<std::string, std::deque<TimePoint>> Suspicions;
 };
 
--- a/src/core/dissemination.cpp
+++ b/src/core/dissemination.cpp
@@ -183,7 +183,7 @@
     return {true, {}};
   }
   return StartupRecovery.update({State.applied(), Members.aliveCount() - 1,
-                                 Members.otherAliveDataCentres()});
+                                 Members.otherAliveDataCentreCount()});
 }
 
 } // namespace chivefold
--- a/src/core/member_table.cpp
+++ b/src/core/member_table.cpp
@@ -24,7 +24,7 @@
 }
 
 /** @return whether @p update replaces @p known. */
-bool prevails(const Member &update, const Member &known) {
+bool supersedes(const Member &update, const Member &known) {
   if (update.Incarnation != known.Incarnation) {
     return update.Incarnation > known.Incarnation;
   }
@@ -45,8 +45,9 @@
 }
 
 MemberTable::MemberTable(Member self, std::uint64_t seed)
-    : Self(std::move(self)), SelfWeight(rendezvousWeight(Self)), Random(seed) {
-  enqueue(Self.Peer);
+    : Self(std::move(self)), SelfRendezvousWeight(rendezvousWeight(Self)),
+      Random(seed) {
+  enqueueUpdate(Self.Peer);
 }
 
 void MemberTable::setFloor(LogOffset floor) {
@@ -58,7 +59,7 @@
   Self.State = state;
   ++Self.Incarnation;
   ++Revision;
-  enqueue(Self.Peer);
+  enqueueUpdate(Self.Peer);
 }
 
 bool MemberTable::merge(const Member &update, TimePoint now) {
@@ -71,10 +72,10 @@
   }
   auto &known = it->second.Value;
   known.Floor = std::max(known.Floor, update.Floor);
-  if (!prevails(update, known)) {
+  if (!supersedes(update, known)) {
     return false;
   }
-  adopt(it->second, update, now);
+  applyUpdate(it->second, update, now);
   return true;
 }
 
@@ -82,14 +83,14 @@
   if (update.Incarnation < Self.Incarnation) {
     return false;
   }
-  const bool same = update.BootId == Self.BootId &&
-                    update.Incarnation == Self.Incarnation &&
-                    update.State <= Self.State;
-  if (same) {
+  const bool isOwnUpdate = update.BootId == Self.BootId &&
+                           update.Incarnation == Self.Incarnation &&
+                           update.State <= Self.State;
+  if (isOwnUpdate) {
     return false;
   }
   Self.Incarnation = update.Incarnation + 1;
-  enqueue(Self.Peer);
+  enqueueUpdate(Self.Peer);
   return true;
 }
 
@@ -99,39 +100,40 @@
   }
   auto &entry = Members[update.Peer];
   entry.Value.Floor = update.Floor;
-  adopt(entry, update, now);
+  applyUpdate(entry, update, now);
   if (isDead(update.State)) {
-    entry.SecondHand = true;
+    entry.FirstHeardDead = true;
     Updates.erase(update.Peer);
   }
   return true;
 }
 
-void MemberTable::adopt(Entry &entry, const Member &update, TimePoint now) {
+void MemberTable::applyUpdate(Entry &entry, const Member &update,
+                              TimePoint now) {
   const auto floor = std::max(entry.Value.Floor, update.Floor);
   entry.Value = update;
   entry.Value.Floor = floor;
-  entry.Weight = rendezvousWeight(update);
-  entry.SecondHand = false;
+  entry.RendezvousWeight = rendezvousWeight(update);
+  entry.FirstHeardDead = false;
   setState(entry, update.State, now);
   if (update.State == MemberState::Suspect) {
     suspect(entry, now);
   } else {
-    enqueue(update.Peer);
+    enqueueUpdate(update.Peer);
   }
 }
 
 void MemberTable::setState(Entry &entry, MemberState state, TimePoint now) {
   ++Revision;
   entry.Value.State = state;
-  entry.Quiet = false;
+  entry.UnreachableLocally = false;
   entry.Deadline =
       now + (state == MemberState::Suspect ? MembershipLimits::SuspicionTimeout
                                            : MembershipLimits::DeadRetention);
 }
 
-std::optional<Member> MemberTable::heardFrom(const Member &sender,
-                                             TimePoint now) {
+std::optional<Member> MemberTable::mergeFromSender(const Member &sender,
+                                                   TimePoint now) {
   if (merge(sender, now) || sender.Peer == Self.Peer) {
     return std::nullopt;
   }
@@ -142,7 +144,7 @@
   const auto &known = it->second.Value;
   const bool sameRun =
       known.Incarnation == sender.Incarnation && known.BootId == sender.BootId;
-  if (sameRun && it->second.Quiet) {
+  if (sameRun && it->second.UnreachableLocally) {
     setState(it->second, sender.State, now);
     return std::nullopt;
   }
@@ -161,17 +163,18 @@
 
 void MemberTable::suspect(Entry &entry, TimePoint now) {
   setState(entry, MemberState::Suspect, now);
-  if (isMass(entry.Value.DataCentre, now)) {
+  if (isMassSuspicion(entry.Value.DataCentre, now)) {
     markMassUnreachable(entry.Value.DataCentre, now);
   } else {
-    enqueue(entry.Value.Peer);
+    enqueueUpdate(entry.Value.Peer);
   }
 }
 
-bool MemberTable::isMass(const std::string &dataCentre, TimePoint now) {
+bool MemberTable::isMassSuspicion(const std::string &dataCentre,
+                                  TimePoint now) {
   auto &times = Suspicions[dataCentre];
   times.push_back(now);
-  while (times.front() + MembershipLimits::MassWindow < now ||
+  while (times.front() + MembershipLimits::MassSuspicionWindow < now ||
          times.size() > MembershipLimits::MaxMembers) {
     times.pop_front();
   }
@@ -179,9 +182,9 @@
       std::count_if(Members.begin(), Members.end(), [&](const auto &it) {
         const auto &entry = it.second;
         return entry.Value.DataCentre == dataCentre &&
-               (entry.Quiet || !isDead(entry.Value.State));
+               (entry.UnreachableLocally || !isDead(entry.Value.State));
       });
-  return times.size() >= MembershipLimits::MassMinimum &&
+  return times.size() >= MembershipLimits::MassSuspicionMinimum &&
          times.size() * 4 > static_cast<std::size_t>(size);
 }
 
@@ -192,7 +195,7 @@
     if (entry.Value.DataCentre == dataCentre &&
         entry.Value.State == MemberState::Suspect) {
       setState(entry, MemberState::Unreachable, now);
-      entry.Quiet = true;
+      entry.UnreachableLocally = true;
       Updates.erase(it.first);
     }
   }
@@ -210,12 +213,13 @@
     }
     if (expired && entry.Value.State == MemberState::Suspect) {
       setState(entry, MemberState::Unreachable, now);
-      enqueue(it->first);
+      enqueueUpdate(it->first);
     }
     ++it;
   }
   for (auto it = Suspicions.begin(); it != Suspicions.end();) {
-    const bool old = it->second.back() + MembershipLimits::MassWindow < now;
+    const bool old =
+        it->second.back() + MembershipLimits::MassSuspicionWindow < now;
     it = old ? Suspicions.erase(it) : std::next(it);
   }
 }
@@ -249,7 +253,7 @@
 std::vector<Member> MemberTable::members() const {
   std::vector<Member> all{Self};
   for (const auto &it : Members) {
-    if (!it.second.SecondHand) {
+    if (!it.second.FirstHeardDead) {
       all.push_back(it.second.Value);
     }
   }
@@ -265,7 +269,7 @@
                  }));
 }
 
-std::size_t MemberTable::otherAliveDataCentres() const {
+std::size_t MemberTable::otherAliveDataCentreCount() const {
   std::set<std::string_view> names;
   for (const auto *it : aliveOthers()) {
     names.insert(it->DataCentre);
--- a/src/core/member_table_choice.cpp
+++ b/src/core/member_table_choice.cpp
@@ -13,7 +13,7 @@
   }
   NextProbe = now + MembershipLimits::ProbeInterval;
   if (++Probes % MembershipLimits::UnreachableProbeEvery == 0) {
-    if (auto target = unreachableProbe()) {
+    if (auto target = randomUnreachableMember()) {
       return target;
     }
   }
@@ -26,12 +26,12 @@
         return target;
       }
     }
-    reshuffle();
+    reshuffleProbeOrder();
   }
   return std::nullopt;
 }
 
-void MemberTable::reshuffle() {
+void MemberTable::reshuffleProbeOrder() {
   ProbeOrder.clear();
   ProbePosition = 0;
   for (const auto &it : Members) {
@@ -42,45 +42,45 @@
   std::shuffle(ProbeOrder.begin(), ProbeOrder.end(), Random);
 }
 
-std::optional<Address> MemberTable::unreachableProbe() {
-  std::vector<const Member *> gone;
+std::optional<Address> MemberTable::randomUnreachableMember() {
+  std::vector<const Member *> unreachable;
   for (const auto &it : Members) {
     if (it.second.Value.State == MemberState::Unreachable) {
-      gone.push_back(&it.second.Value);
+      unreachable.push_back(&it.second.Value);
     }
   }
-  const auto chosen = sample(std::move(gone), 1);
+  const auto chosen = sample(std::move(unreachable), 1);
   return chosen.empty() ? std::nullopt : std::make_optional(chosen.front());
 }
 
-std::vector<Address> MemberTable::probeHelpers(const Address &target) {
+std::vector<Address> MemberTable::indirectProbers(const Address &target) {
   auto others = aliveOthers();
   others.erase(
       std::remove_if(others.begin(), others.end(),
                      [&](const Member *m) { return m->Peer == target; }),
       others.end());
-  return sample(std::move(others), MembershipLimits::ProbeHelpers);
+  return sample(std::move(others), MembershipLimits::IndirectProbers);
 }
 
 std::vector<Address> MemberTable::randomPeers(std::size_t n,
                                               bool mustIncludeOtherDc) {
   auto others = aliveOthers();
   auto peers = sample(others, n);
-  const auto elsewhere = [&](const Member *m) {
+  const auto isRemote = [&](const Member *m) {
     return m->DataCentre != Self.DataCentre;
   };
   const bool included =
       std::any_of(peers.begin(), peers.end(),
-                  [&](const Address &a) { return elsewhere(find(a)); });
+                  [&](const Address &a) { return isRemote(find(a)); });
   if (!mustIncludeOtherDc || included || peers.empty()) {
     return peers;
   }
   others.erase(std::remove_if(others.begin(), others.end(),
-                              [&](const auto *m) { return !elsewhere(m); }),
+                              [&](const auto *m) { return !isRemote(m); }),
                others.end());
-  const auto far = sample(std::move(others), 1);
-  if (!far.empty()) {
-    peers.back() = far.front();
+  const auto remote = sample(std::move(others), 1);
+  if (!remote.empty()) {
+    peers.back() = remote.front();
   }
   return peers;
 }
@@ -114,11 +114,12 @@
       ranked.emplace_back(weight, m.Peer);
     }
   };
-  add(Self, SelfWeight);
+  add(Self, SelfRendezvousWeight);
   for (const auto &it : Members) {
-    add(it.second.Value, it.second.Weight);
+    add(it.second.Value, it.second.RendezvousWeight);
   }
-  const auto n = std::min(MembershipLimits::Readers, ranked.size());
+  const auto n =
+      std::min(MembershipLimits::ReadersPerDataCentre, ranked.size());
   std::partial_sort(ranked.begin(),
                     ranked.begin() + static_cast<std::ptrdiff_t>(n),
                     ranked.end());
@@ -138,8 +139,8 @@
   return Reader;
 }
 
-void MemberTable::enqueue(const Address &address) {
-  Updates[address] = {0, ++UpdateOrder};
+void MemberTable::enqueueUpdate(const Address &address) {
+  Updates[address] = {0, ++NextUpdateOrder};
 }
 
 std::uint32_t MemberTable::maxTransmissions() const {
@@ -164,13 +165,13 @@
         return std::make_tuple(a->second.Transmissions, b->second.Order) <
                std::make_tuple(b->second.Transmissions, a->second.Order);
       });
-  const auto most = maxTransmissions();
+  const auto maxSends = maxTransmissions();
   std::vector<Member> updates;
   for (std::size_t i = 0; i < n; ++i) {
     if (const auto *m = find(queued[i]->first)) {
       updates.push_back(*m);
     }
-    if (++queued[i]->second.Transmissions >= most) {
+    if (++queued[i]->second.Transmissions >= maxSends) {
       Updates.erase(queued[i]);
     }
   }
--- a/src/daemon/join_service.cpp
+++ b/src/daemon/join_service.cpp
@@ -99,7 +99,7 @@
   }
   wire::JoinAnswerT answer;
   answer.your_floor = raw(Members.floorOf(from->Peer));
-  Members.heardFrom(*from, Loop.now());
+  Members.mergeFromSender(*from, Loop.now());
   answer.ready = Control.readiness().Ready;
   answer.applied = raw(Control.appliedOffset());
   answer.members = toWire(Members.members());
--- a/src/daemon/membership_service.cpp
+++ b/src/daemon/membership_service.cpp
@@ -66,7 +66,7 @@
 
 void MembershipService::onAck(const Address &target, const wire::AckT &ack) {
   if (const auto from = fromWire(ack.from.get())) {
-    Members.heardFrom(*from, Loop.now());
+    Members.mergeFromSender(*from, Loop.now());
   }
   mergeUpdates(fromWire(ack.updates));
   Payload.heardProgress(target, LogOffset{ack.applied}, ack.state_digest,
@@ -75,7 +75,7 @@
 }
 
 void MembershipService::probeIndirectly(const Address &target) {
-  const auto helpers = Members.probeHelpers(target);
+  const auto helpers = Members.indirectProbers(target);
   if (helpers.empty()) {
     Members.probeFailed(target, Loop.now());
     return;
@@ -113,7 +113,7 @@
   if (!from) {
     return;
   }
-  auto correction = Members.heardFrom(*from, Loop.now());
+  auto correction = Members.mergeFromSender(*from, Loop.now());
   mergeUpdates(fromWire(ping.updates));
   Payload.heardProgress(from->Peer, LogOffset{ping.applied}, ping.state_digest,
                         ping.steps);
--- a/tests/unit/member_table_test.cpp
+++ b/tests/unit/member_table_test.cpp
@@ -49,15 +49,15 @@
   MemberTable suspected(makeMember(2), 8);
   observer.probeFailed({"127.0.0.1", 2}, Start);
   CHECK(stateOf(observer, 2) == MemberState::Suspect);
-  const auto told = observer.heardFrom(suspected.self(), Start);
-  REQUIRE(told);
-  CHECK(suspected.merge(*told, Start));
+  const auto correction = observer.mergeFromSender(suspected.self(), Start);
+  REQUIRE(correction);
+  CHECK(suspected.merge(*correction, Start));
   CHECK(suspected.self().Incarnation == 1);
   CHECK(observer.merge(suspected.self(), Start));
   observer.tick(Start + Limits::SuspicionTimeout);
   CHECK(stateOf(observer, 2) == MemberState::Alive);
   // A late copy of the suspicion is older than the refutation.
-  CHECK_FALSE(observer.merge(*told, Start));
+  CHECK_FALSE(observer.merge(*correction, Start));
   CHECK(stateOf(observer, 2) == MemberState::Alive);
 }
 
@@ -67,7 +67,7 @@
   auto t = makeTable(20);
   auto floor = makeMember(2);
   floor.Floor = LogOffset{42};
-  t.heardFrom(floor, Start);
+  t.mergeFromSender(floor, Start);
   t.probeFailed(floor.Peer, Start);
   const auto deadAt = Start + Limits::SuspicionTimeout;
   t.tick(deadAt - Duration(1));
@@ -92,7 +92,7 @@
   CHECK(stateOf(t, 5000) == MemberState::Unreachable);
   CHECK(stateOf(t, 5010) == MemberState::Unreachable);
   CHECK(t.takeUpdates().empty());
-  CHECK_FALSE(t.heardFrom(makeMember(5000, "west"), Start));
+  CHECK_FALSE(t.mergeFromSender(makeMember(5000, "west"), Start));
   CHECK(stateOf(t, 5000) == MemberState::Alive);
   CHECK(t.takeUpdates().empty());
 
@@ -113,12 +113,12 @@
   old.Floor = LogOffset{77};
   REQUIRE(t.merge(old, Start));
   MemberTable fresh(makeMember(2, "east", 3), 8);
-  const auto told = t.heardFrom(fresh.self(), Start);
-  REQUIRE(told);
-  CHECK(told->BootId == 9);
-  CHECK(raw(told->Floor) == 77);
-  CHECK(fresh.merge(*told, Start));
-  CHECK_FALSE(t.heardFrom(fresh.self(), Start));
+  const auto correction = t.mergeFromSender(fresh.self(), Start);
+  REQUIRE(correction);
+  CHECK(correction->BootId == 9);
+  CHECK(raw(correction->Floor) == 77);
+  CHECK(fresh.merge(*correction, Start));
+  CHECK_FALSE(t.mergeFromSender(fresh.self(), Start));
   CHECK(t.find(old.Peer)->BootId == 3);
   CHECK(raw(t.floorOf(old.Peer)) == 77);
   CHECK_FALSE(t.merge(inState(old, MemberState::Unreachable), Start));
@@ -142,7 +142,7 @@
     CHECK_FALSE(t.nextProbe(now));
   }
   CHECK(seen.size() == 50);
-  const auto helpers = t.probeHelpers({"127.0.0.1", 2});
+  const auto helpers = t.indirectProbers({"127.0.0.1", 2});
   CHECK(std::set<Address>(helpers.begin(), helpers.end()).size() == 3);
   CHECK(std::count(helpers.begin(), helpers.end(), Address{"127.0.0.1", 2}) ==
         0);
@@ -177,11 +177,12 @@
   CHECK(other.readers("east") == readers);
   CHECK(t.isReader() ==
         (std::count(readers.begin(), readers.end(), t.self().Peer) == 1));
-  const auto gone = readers[0] == t.self().Peer ? readers[1] : readers[0];
-  t.probeFailed(gone, Start);
+  const auto unreachable =
+      readers[0] == t.self().Peer ? readers[1] : readers[0];
+  t.probeFailed(unreachable, Start);
   const auto next = t.readers("east");
   CHECK(next.size() == 3);
-  CHECK(std::count(next.begin(), next.end(), gone) == 0);
+  CHECK(std::count(next.begin(), next.end(), unreachable) == 0);
 }
 
 // Guards against routers and log readers that stay with members of the past.
@@ -210,7 +211,7 @@
   expectNew(true);
   t.probeFailed({"127.0.0.1", 50}, Start);
   expectNew(true);
-  t.heardFrom(makeMember(50), Start);
+  t.mergeFromSender(makeMember(50), Start);
   t.tick(Start + Limits::SuspicionTimeout);
   expectNew(true);
   t.tick(Start + Limits::DeadRetention + Limits::SuspicionTimeout);
