--- a/include/chivefold/core/poison_table.h
+++ b/include/chivefold/core/poison_table.h
@@ -21,13 +21,13 @@
 enum class RequestDigest : std::uint64_t { None = 0 };
 
 /** Identity of a death, drawn by the daemon that saw it. */
-enum class DeathId : std::uint64_t { None = 0 };
+enum class CrashId : std::uint64_t { None = 0 };
 
 /**
  * Safe step: the request was in flight when the server died. Spreads between
  * daemons without a log record, since it only reduces exposure.
  */
-struct PoisonStep {
+struct PoisonUpdate {
   RequestDigest Digest = RequestDigest::None;
   Address Server;
   /** Time since the death; expired steps are dropped. Not compared with that
@@ -35,7 +35,7 @@
   Duration Age{};
   /** The request was answered after this death, which no longer counts. */
   bool Cleared = false;
-  DeathId Id = DeathId::None;
+  CrashId Id = CrashId::None;
   /** How often the step may still be passed on. */
   std::uint8_t Hops = 0;
 };
@@ -52,10 +52,10 @@
 public:
   static constexpr std::size_t MaxDigests = 1024;
   /** Deaths of one digest that are kept; further ones change nothing. */
-  static constexpr std::size_t MaxDeaths = 4;
+  static constexpr std::size_t MaxCrashesPerDigest = 4;
   /** Identities remembered; a copy of a step whose identity was forgotten can
    * be taken again, but its hops are bounded. */
-  static constexpr std::size_t MaxSeen = 4096;
+  static constexpr std::size_t MaxKnownCrashes = 4096;
   /** Passed on to eight peers each time, a step reaches 8^6 daemons. */
   static constexpr std::uint8_t MaxHops = 6;
   static constexpr Duration QuarantineTime = std::chrono::minutes(10);
@@ -64,27 +64,28 @@
   /** A request that was answered this recently is not the cause of a death.
    * Frequent requests, which all have one digest, are in flight at most deaths
    * and would be quarantined when two servers die at once. */
-  static constexpr Duration InnocentTime = std::chrono::seconds(10);
+  static constexpr Duration RecentAnswerWindow = std::chrono::seconds(10);
 
   /** @param seed for the identities of deaths; differs between daemons. */
   explicit PoisonTable(std::uint64_t seed);
 
   /** A server died with these requests in flight. @return steps to spread. */
-  std::vector<PoisonStep> serverDied(const Address &server,
-                                     const std::vector<RequestDigest> &inFlight,
-                                     TimePoint now);
+  std::vector<PoisonUpdate>
+  serverCrashed(const Address &server,
+                const std::vector<RequestDigest> &inFlight, TimePoint now);
 
   /** A request was answered: clears its deaths, not a quarantine.
    * @return a step to spread for each death. */
-  std::vector<PoisonStep> succeeded(RequestDigest digest, TimePoint now);
+  std::vector<PoisonUpdate> requestAnswered(RequestDigest digest,
+                                            TimePoint now);
 
-  /** @return whether a request was answered within InnocentTime, so that its
-   * digest need not be reported to serverDied(). */
-  bool isInnocent(RequestDigest digest, TimePoint now) const;
+  /** @return whether a request was answered within RecentAnswerWindow, so that
+   * its digest need not be reported to serverCrashed(). */
+  bool wasRecentlyAnswered(RequestDigest digest, TimePoint now) const;
 
   /** Merges a step of another daemon. @return the step to pass on, if it is new
    * here and has hops left. */
-  std::optional<PoisonStep> merge(const PoisonStep &step, TimePoint now);
+  std::optional<PoisonUpdate> merge(const PoisonUpdate &step, TimePoint now);
 
   /** @return time until the quarantine ends, if there is one. */
   std::optional<Duration> quarantined(RequestDigest digest,
@@ -92,42 +93,42 @@
 
   /** @return up to @p max deaths and their ages, newest digests first. They
    * have no hops: a receiver keeps them to itself. */
-  std::vector<PoisonStep> steps(std::size_t max, TimePoint now) const;
+  std::vector<PoisonUpdate> activeCrashes(std::size_t max, TimePoint now) const;
 
   std::size_t size() const;
 
 private:
-  struct Death {
+  struct Crash {
     Address Server;
     TimePoint At{};
-    DeathId Id = DeathId::None;
+    CrashId Id = CrashId::None;
   };
   struct Entry {
     /** Of different servers. */
-    std::vector<Death> Deaths;
+    std::vector<Crash> Crashes;
     std::list<RequestDigest>::iterator Age;
   };
   /** How far the knowledge of one death has come. */
-  enum class Stage : std::uint8_t { Died, Cleared };
+  enum class Stage : std::uint8_t { Crashed, Cleared };
 
-  bool advance(DeathId id, Stage stage);
-  bool record(RequestDigest digest, const Death &death, TimePoint now);
+  bool advanceStage(CrashId id, Stage stage);
+  bool recordCrash(RequestDigest digest, const Crash &crash, TimePoint now);
   void erase(RequestDigest digest);
-  void clear(RequestDigest digest, DeathId id);
-  void noteAnswer(RequestDigest digest, TimePoint answeredAt);
+  void removeCrash(RequestDigest digest, CrashId id);
+  void recordAnswer(RequestDigest digest, TimePoint answeredAt);
 
   std::mt19937_64 Random;
   std::unordered_map<RequestDigest, Entry> Entries;
   /** Oldest first. */
-  std::list<RequestDigest> Ages;
+  std::list<RequestDigest> InsertionOrder;
   struct Answer {
     RequestDigest Digest = RequestDigest::None;
     TimePoint At{};
   };
-  std::vector<Answer> Answers = std::vector<Answer>(MaxAnswers);
-  std::unordered_map<DeathId, Stage> Seen;
+  std::vector<Answer> RecentAnswers = std::vector<Answer>(MaxAnswers);
+  std::unordered_map<CrashId, Stage> KnownCrashes;
   /** Oldest first. */
-  std::deque<DeathId> SeenOrder;
+  std::deque<CrashId> KnownCrashOrder;
 };
 
 } // namespace chivefold
--- a/include/chivefold/daemon/poison_service.h
+++ b/include/chivefold/daemon/poison_service.h
@@ -69,7 +69,7 @@
   deathsToSend(std::size_t max) const;
 
 private:
-  void spread(const PoisonStep &step);
+  void spread(const PoisonUpdate &step);
 
   Reactor &Loop;
   PeerNetwork &Network;
--- a/include/chivefold/daemon/wire_convert.h
+++ b/include/chivefold/daemon/wire_convert.h
@@ -43,8 +43,8 @@
 std::optional<SafeStep> stepFromWire(const wire::SafeStepT &step);
 
 /** Converts deaths; nothing if the server has no address. Thread-safe. */
-std::unique_ptr<wire::PoisonDeathT> poisonToWire(const PoisonStep &step);
-std::optional<PoisonStep> poisonFromWire(const wire::PoisonDeathT &death);
+std::unique_ptr<wire::PoisonDeathT> poisonToWire(const PoisonUpdate &step);
+std::optional<PoisonUpdate> poisonFromWire(const wire::PoisonDeathT &death);
 
 /** Converts counts of a version. Thread-safe. */
 std::vector<std::unique_ptr<wire::KindStatsT>>
--- a/src/core/poison_table.cpp
+++ b/src/core/poison_table.cpp
@@ -5,39 +5,41 @@
 namespace chivefold {
 namespace {
 
-constexpr std::size_t DeathsToQuarantine = 2;
+constexpr std::size_t CrashesToQuarantine = 2;
 
 } // namespace
 
 PoisonTable::PoisonTable(std::uint64_t seed) : Random(seed) {}
 
-std::vector<PoisonStep>
-PoisonTable::serverDied(const Address &server,
-                        const std::vector<RequestDigest> &inFlight,
-                        TimePoint now) {
-  std::vector<PoisonStep> steps;
+std::vector<PoisonUpdate>
+PoisonTable::serverCrashed(const Address &server,
+                           const std::vector<RequestDigest> &inFlight,
+                           TimePoint now) {
+  std::vector<PoisonUpdate> activeCrashes;
   for (const auto digest : inFlight) {
-    const auto id = static_cast<DeathId>(Random());
-    if (record(digest, {server, now, id}, now)) {
-      advance(id, Stage::Died);
-      steps.push_back({digest, server, Duration::zero(), false, id, MaxHops});
+    const auto id = static_cast<CrashId>(Random());
+    if (recordCrash(digest, {server, now, id}, now)) {
+      advanceStage(id, Stage::Crashed);
+      activeCrashes.push_back(
+          {digest, server, Duration::zero(), false, id, MaxHops});
     }
   }
-  return steps;
+  return activeCrashes;
 }
 
-std::optional<PoisonStep> PoisonTable::merge(const PoisonStep &step,
-                                             TimePoint now) {
+std::optional<PoisonUpdate> PoisonTable::merge(const PoisonUpdate &step,
+                                               TimePoint now) {
   const auto age = std::max(step.Age, Duration::zero());
-  const auto stage = step.Cleared ? Stage::Cleared : Stage::Died;
-  if (age >= QuarantineTime || step.Id == DeathId::None ||
-      !advance(step.Id, stage)) {
+  const auto stage = step.Cleared ? Stage::Cleared : Stage::Crashed;
+  if (age >= QuarantineTime || step.Id == CrashId::None ||
+      !advanceStage(step.Id, stage)) {
     return std::nullopt;
   }
   if (step.Cleared) {
-    noteAnswer(step.Digest, now - age);
-    clear(step.Digest, step.Id);
-  } else if (!record(step.Digest, {step.Server, now - age, step.Id}, now)) {
+    recordAnswer(step.Digest, now - age);
+    removeCrash(step.Digest, step.Id);
+  } else if (!recordCrash(step.Digest, {step.Server, now - age, step.Id},
+                          now)) {
     return std::nullopt;
   }
   if (step.Hops == 0) {
@@ -49,44 +51,44 @@
 }
 
 // @return whether this is news of the death; its clearing is final.
-bool PoisonTable::advance(DeathId id, Stage stage) {
-  const auto [it, isNew] = Seen.emplace(id, stage);
+bool PoisonTable::advanceStage(CrashId id, Stage stage) {
+  const auto [it, isNew] = KnownCrashes.emplace(id, stage);
   if (!isNew) {
-    const bool further = it->second < stage;
+    const bool isAdvance = it->second < stage;
     it->second = std::max(it->second, stage);
-    return further;
+    return isAdvance;
   }
-  SeenOrder.push_back(id);
-  if (SeenOrder.size() > MaxSeen) {
-    Seen.erase(SeenOrder.front());
-    SeenOrder.pop_front();
+  KnownCrashOrder.push_back(id);
+  if (KnownCrashOrder.size() > MaxKnownCrashes) {
+    KnownCrashes.erase(KnownCrashOrder.front());
+    KnownCrashOrder.pop_front();
   }
   return true;
 }
 
-bool PoisonTable::record(RequestDigest digest, const Death &death,
-                         TimePoint now) {
+bool PoisonTable::recordCrash(RequestDigest digest, const Crash &crash,
+                              TimePoint now) {
   auto it = Entries.find(digest);
   if (it == Entries.end()) {
     if (Entries.size() >= MaxDigests) {
-      erase(Ages.front());
+      erase(InsertionOrder.front());
     }
     it = Entries.emplace(digest, Entry{}).first;
-    it->second.Age = Ages.insert(Ages.end(), digest);
-  }
-  auto &deaths = it->second.Deaths;
-  deaths.erase(std::remove_if(deaths.begin(), deaths.end(),
-                              [now](const Death &d) {
-                                return now - d.At >= QuarantineTime;
-                              }),
-               deaths.end());
+    it->second.Age = InsertionOrder.insert(InsertionOrder.end(), digest);
+  }
+  auto &crashes = it->second.Crashes;
+  crashes.erase(std::remove_if(crashes.begin(), crashes.end(),
+                               [now](const Crash &d) {
+                                 return now - d.At >= QuarantineTime;
+                               }),
+                crashes.end());
   const bool isKnown =
-      std::any_of(deaths.begin(), deaths.end(),
-                  [&](const Death &d) { return d.Server == death.Server; });
-  if (isKnown || deaths.size() >= MaxDeaths) {
+      std::any_of(crashes.begin(), crashes.end(),
+                  [&](const Crash &d) { return d.Server == crash.Server; });
+  if (isKnown || crashes.size() >= MaxCrashesPerDigest) {
     return false;
   }
-  deaths.push_back(death);
+  crashes.push_back(crash);
   return true;
 }
 
@@ -94,66 +96,68 @@
   const auto it = Entries.find(digest);
   const auto age = it->second.Age;
   Entries.erase(it);
-  Ages.erase(age);
+  InsertionOrder.erase(age);
 }
 
-std::vector<PoisonStep> PoisonTable::succeeded(RequestDigest digest,
-                                               TimePoint now) {
-  std::vector<PoisonStep> steps;
+std::vector<PoisonUpdate> PoisonTable::requestAnswered(RequestDigest digest,
+                                                       TimePoint now) {
+  std::vector<PoisonUpdate> activeCrashes;
   if (quarantined(digest, now)) {
-    return steps;
+    return activeCrashes;
   }
-  noteAnswer(digest, now);
+  recordAnswer(digest, now);
   const auto it = Entries.find(digest);
   if (it == Entries.end()) {
-    return steps;
+    return activeCrashes;
   }
-  for (const auto &death : it->second.Deaths) {
-    advance(death.Id, Stage::Cleared);
-    steps.push_back(
-        {digest, death.Server, Duration::zero(), true, death.Id, MaxHops});
+  for (const auto &crash : it->second.Crashes) {
+    advanceStage(crash.Id, Stage::Cleared);
+    activeCrashes.push_back(
+        {digest, crash.Server, Duration::zero(), true, crash.Id, MaxHops});
   }
   erase(digest);
-  return steps;
+  return activeCrashes;
 }
 
-void PoisonTable::clear(RequestDigest digest, DeathId id) {
+void PoisonTable::removeCrash(RequestDigest digest, CrashId id) {
   const auto it = Entries.find(digest);
   if (it == Entries.end()) {
     return;
   }
-  auto &deaths = it->second.Deaths;
-  deaths.erase(std::remove_if(deaths.begin(), deaths.end(),
-                              [id](const Death &d) { return d.Id == id; }),
-               deaths.end());
-  if (deaths.empty()) {
+  auto &crashes = it->second.Crashes;
+  crashes.erase(std::remove_if(crashes.begin(), crashes.end(),
+                               [id](const Crash &d) { return d.Id == id; }),
+                crashes.end());
+  if (crashes.empty()) {
     erase(digest);
   }
 }
 
-void PoisonTable::noteAnswer(RequestDigest digest, TimePoint answeredAt) {
-  auto &answer = Answers[static_cast<std::size_t>(digest) % MaxAnswers];
+void PoisonTable::recordAnswer(RequestDigest digest, TimePoint answeredAt) {
+  auto &answer = RecentAnswers[static_cast<std::size_t>(digest) % MaxAnswers];
   if (answer.Digest != digest || answer.At < answeredAt) {
     answer = {digest, answeredAt};
   }
 }
 
-bool PoisonTable::isInnocent(RequestDigest digest, TimePoint now) const {
-  const auto &answer = Answers[static_cast<std::size_t>(digest) % MaxAnswers];
+bool PoisonTable::wasRecentlyAnswered(RequestDigest digest,
+                                      TimePoint now) const {
+  const auto &answer =
+      RecentAnswers[static_cast<std::size_t>(digest) % MaxAnswers];
   return answer.Digest == digest && answer.At != TimePoint{} &&
-         now - answer.At < InnocentTime;
+         now - answer.At < RecentAnswerWindow;
 }
 
-std::vector<PoisonStep> PoisonTable::steps(std::size_t max,
-                                           TimePoint now) const {
-  std::vector<PoisonStep> all;
-  for (auto it = Ages.rbegin(); it != Ages.rend(); ++it) {
-    for (const auto &death : Entries.at(*it).Deaths) {
+std::vector<PoisonUpdate> PoisonTable::activeCrashes(std::size_t max,
+                                                     TimePoint now) const {
+  std::vector<PoisonUpdate> all;
+  for (auto it = InsertionOrder.rbegin(); it != InsertionOrder.rend(); ++it) {
+    for (const auto &crash : Entries.at(*it).Crashes) {
       if (all.size() >= max) {
         return all;
       }
-      if (now - death.At < QuarantineTime) {
-        all.push_back({*it, death.Server, now - death.At, false, death.Id, 0});
+      if (now - crash.At < QuarantineTime) {
+        all.push_back({*it, crash.Server, now - crash.At, false, crash.Id, 0});
       }
     }
   }
@@ -163,12 +167,12 @@
 std::optional<Duration> PoisonTable::quarantined(RequestDigest digest,
                                                  TimePoint now) const {
   const auto it = Entries.find(digest);
-  if (it == Entries.end() || it->second.Deaths.size() < DeathsToQuarantine) {
+  if (it == Entries.end() || it->second.Crashes.size() < CrashesToQuarantine) {
     return std::nullopt;
   }
   const auto latest = std::max_element(
-      it->second.Deaths.begin(), it->second.Deaths.end(),
-      [](const Death &a, const Death &b) { return a.At < b.At; });
+      it->second.Crashes.begin(), it->second.Crashes.end(),
+      [](const Crash &a, const Crash &b) { return a.At < b.At; });
   const auto until = latest->At + QuarantineTime;
   if (until <= now) {
     return std::nullopt;
--- a/src/daemon/poison_service.cpp
+++ b/src/daemon/poison_service.cpp
@@ -17,16 +17,16 @@
 
 void PoisonService::serverDied(const Address &server, RequestDigest digest) {
   const auto now = Loop.now();
-  if (Table.isInnocent(digest, now)) {
+  if (Table.wasRecentlyAnswered(digest, now)) {
     return;
   }
-  for (const auto &it : Table.serverDied(server, {digest}, now)) {
+  for (const auto &it : Table.serverCrashed(server, {digest}, now)) {
     spread(it);
   }
 }
 
 void PoisonService::succeeded(RequestDigest digest) {
-  for (const auto &it : Table.succeeded(digest, Loop.now())) {
+  for (const auto &it : Table.requestAnswered(digest, Loop.now())) {
     spread(it);
   }
 }
@@ -53,13 +53,13 @@
 std::vector<std::unique_ptr<wire::PoisonDeathT>>
 PoisonService::deathsToSend(std::size_t max) const {
   std::vector<std::unique_ptr<wire::PoisonDeathT>> deaths;
-  for (const auto &it : Table.steps(max, Loop.now())) {
+  for (const auto &it : Table.activeCrashes(max, Loop.now())) {
     deaths.push_back(poisonToWire(it));
   }
   return deaths;
 }
 
-void PoisonService::spread(const PoisonStep &step) {
+void PoisonService::spread(const PoisonUpdate &step) {
   const bool refused = Table.quarantined(step.Digest, Loop.now()).has_value();
   Lines.info(step.Cleared ? "request is cleared"
                           : "backend server died while it ran a request",
--- a/src/daemon/wire_convert.cpp
+++ b/src/daemon/wire_convert.cpp
@@ -105,7 +105,7 @@
   return s;
 }
 
-std::unique_ptr<wire::PoisonDeathT> poisonToWire(const PoisonStep &step) {
+std::unique_ptr<wire::PoisonDeathT> poisonToWire(const PoisonUpdate &step) {
   auto to = std::make_unique<wire::PoisonDeathT>();
   to->digest = static_cast<std::uint64_t>(step.Digest);
   to->server = addressToWire(step.Server);
@@ -119,14 +119,14 @@
   return to;
 }
 
-std::optional<PoisonStep> poisonFromWire(const wire::PoisonDeathT &death) {
+std::optional<PoisonUpdate> poisonFromWire(const wire::PoisonDeathT &death) {
   const auto server = fromWire(death.server.get());
   if (!server) {
     return std::nullopt;
   }
-  return PoisonStep{static_cast<RequestDigest>(death.digest), *server,
-                    std::chrono::milliseconds(death.age_ms),  death.cleared,
-                    static_cast<DeathId>(death.id),           death.hops};
+  return PoisonUpdate{static_cast<RequestDigest>(death.digest), *server,
+                      std::chrono::milliseconds(death.age_ms),  death.cleared,
+                      static_cast<CrashId>(death.id),           death.hops};
 }
 
 std::vector<std::unique_ptr<wire::KindStatsT>>
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -24,15 +24,15 @@
     }
   }
 
-  void died(std::size_t at, TimePoint now) {
+  void serverCrashed(std::size_t at, TimePoint now) {
     const Address server{"10.0.0.1", static_cast<std::uint16_t>(at + 1)};
-    for (const auto &it : Tables[at].serverDied(server, {Digest}, now)) {
+    for (const auto &it : Tables[at].serverCrashed(server, {Digest}, now)) {
       spread(it, now);
     }
   }
 
-  void answered(std::size_t at, TimePoint now) {
-    for (const auto &it : Tables[at].succeeded(Digest, now)) {
+  void requestAnswered(std::size_t at, TimePoint now) {
+    for (const auto &it : Tables[at].requestAnswered(Digest, now)) {
       spread(it, now);
     }
   }
@@ -51,7 +51,7 @@
   }
 
   std::size_t sent() const { return Sent; }
-  bool silent() const { return Messages.empty(); }
+  bool idle() const { return Messages.empty(); }
   std::size_t suspecting() const {
     return static_cast<std::size_t>(
         std::count_if(Tables.begin(), Tables.end(),
@@ -62,11 +62,11 @@
   struct Message {
     TimePoint At{};
     std::size_t To = 0;
-    PoisonStep Step;
+    PoisonUpdate Step;
     bool operator<(const Message &other) const { return At > other.At; }
   };
 
-  void spread(const PoisonStep &step, TimePoint now) {
+  void spread(const PoisonUpdate &step, TimePoint now) {
     std::uniform_int_distribution<std::size_t> to(0, Tables.size() - 1);
     std::uniform_int_distribution<int> delay(0, 400);
     for (std::size_t i = 0; i < Fanout; ++i) {
@@ -89,19 +89,19 @@
 TEST_CASE("a death and its answer fall silent", "[poison]") {
   CHECK(rc::check("each table passes a step on once", [](std::uint64_t seed) {
     const auto hosts = *rc::gen::inRange<std::size_t>(2, 80);
-    const auto deaths = *rc::gen::inRange<std::size_t>(1, 3);
+    const auto crashes = *rc::gen::inRange<std::size_t>(1, 3);
     const auto answerAfter = milliseconds(*rc::gen::inRange(0, 1000));
     const TimePoint start{std::chrono::hours(1)};
     Fleet fleet(hosts, seed);
-    for (std::size_t i = 0; i < deaths; ++i) {
-      fleet.died(0, start + i * milliseconds(5));
+    for (std::size_t i = 0; i < crashes; ++i) {
+      fleet.serverCrashed(0, start + i * milliseconds(5));
     }
-    const auto bound = (deaths + 1) * hosts * Fanout;
+    const auto bound = (crashes + 1) * hosts * Fanout;
     fleet.run(start + answerAfter, bound);
-    fleet.answered(hosts - 1, start + answerAfter);
-    fleet.answered(0, start + answerAfter);
+    fleet.requestAnswered(hosts - 1, start + answerAfter);
+    fleet.requestAnswered(0, start + answerAfter);
     fleet.run(TimePoint::max(), bound * 4);
-    RC_ASSERT(fleet.silent());
+    RC_ASSERT(fleet.idle());
     RC_ASSERT(fleet.sent() <= bound * 2);
   }));
 }
--- a/tests/unit/poison_table_test.cpp
+++ b/tests/unit/poison_table_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr TimePoint T0{};
-constexpr auto Poison = static_cast<RequestDigest>(1);
-constexpr auto Innocent = static_cast<RequestDigest>(2);
-constexpr auto Other = static_cast<DeathId>(101);
-constexpr auto Third = static_cast<DeathId>(102);
+constexpr auto Crashing = static_cast<RequestDigest>(1);
+constexpr auto Harmless = static_cast<RequestDigest>(2);
+constexpr auto Other = static_cast<CrashId>(101);
+constexpr auto Third = static_cast<CrashId>(102);
 const Address First{"127.0.0.1", 1};
 const Address Second{"127.0.0.1", 2};
 
@@ -21,101 +21,101 @@
 // quarantine of requests that only ran beside it.
 TEST_CASE("two deaths quarantine, one success clears a neighbour", "[poison]") {
   PoisonTable table{1};
-  CHECK(table.serverDied(First, {Poison, Innocent}, T0).size() == 2);
-  CHECK_FALSE(table.quarantined(Poison, T0));
-  table.succeeded(Innocent, T0);
-  CHECK(table.serverDied(Second, {Poison, Innocent}, T0 + 1s).size() == 2);
-  CHECK(table.quarantined(Poison, T0 + 1s) == 10min);
-  CHECK_FALSE(table.quarantined(Innocent, T0 + 1s));
-  table.succeeded(Poison, T0 + 2s);
-  CHECK(table.quarantined(Poison, T0 + 10min));
-  CHECK_FALSE(table.quarantined(Poison, T0 + 10min + 1s));
+  CHECK(table.serverCrashed(First, {Crashing, Harmless}, T0).size() == 2);
+  CHECK_FALSE(table.quarantined(Crashing, T0));
+  table.requestAnswered(Harmless, T0);
+  CHECK(table.serverCrashed(Second, {Crashing, Harmless}, T0 + 1s).size() == 2);
+  CHECK(table.quarantined(Crashing, T0 + 1s) == 10min);
+  CHECK_FALSE(table.quarantined(Harmless, T0 + 1s));
+  table.requestAnswered(Crashing, T0 + 2s);
+  CHECK(table.quarantined(Crashing, T0 + 10min));
+  CHECK_FALSE(table.quarantined(Crashing, T0 + 10min + 1s));
 }
 
 // Guards against quarantine by one server that dies repeatedly, and by deaths
 // that are far apart.
 TEST_CASE("the deaths are of different servers and recent", "[poison]") {
   PoisonTable table{1};
-  table.serverDied(First, {Poison}, T0);
-  CHECK(table.serverDied(First, {Poison}, T0 + 1s).empty());
-  CHECK_FALSE(table.quarantined(Poison, T0 + 1s));
-  table.serverDied(Second, {Poison}, T0 + 11min);
-  CHECK_FALSE(table.quarantined(Poison, T0 + 11min));
+  table.serverCrashed(First, {Crashing}, T0);
+  CHECK(table.serverCrashed(First, {Crashing}, T0 + 1s).empty());
+  CHECK_FALSE(table.quarantined(Crashing, T0 + 1s));
+  table.serverCrashed(Second, {Crashing}, T0 + 11min);
+  CHECK_FALSE(table.quarantined(Crashing, T0 + 11min));
 }
 
 // Guards against deaths that are seen by different daemons and never add up,
 // and against steps that circulate forever.
 TEST_CASE("steps of other daemons merge once", "[poison]") {
   PoisonTable table{1};
-  table.serverDied(First, {Poison}, T0);
-  const PoisonStep step{Poison, Second, 4min, false, Other, 1};
+  table.serverCrashed(First, {Crashing}, T0);
+  const PoisonUpdate step{Crashing, Second, 4min, false, Other, 1};
   CHECK(table.merge(step, T0 + 5min));
   CHECK_FALSE(table.merge(step, T0 + 5min));
-  CHECK(table.quarantined(Poison, T0 + 5min) == 6min);
-  CHECK_FALSE(table.merge({Innocent, Second, 10min, false, Third, 1}, T0));
+  CHECK(table.quarantined(Crashing, T0 + 5min) == 6min);
+  CHECK_FALSE(table.merge({Harmless, Second, 10min, false, Third, 1}, T0));
   // A step without an identity cannot be told from its copies.
   CHECK_FALSE(
-      table.merge({Innocent, Second, 4min, false, DeathId::None, 1}, T0));
+      table.merge({Harmless, Second, 4min, false, CrashId::None, 1}, T0));
   CHECK(table.size() == 1);
 }
 
 // Guards against a death that counts again after the request was answered: by a
 // copy that is still under way, or at a daemon that did not see the answer.
 TEST_CASE("an answer clears a death at every daemon", "[poison]") {
-  PoisonTable here{1};
-  PoisonTable there{2};
-  const auto death = here.serverDied(First, {Innocent}, T0 + 1s);
-  REQUIRE(there.merge(death.front(), T0 + 1s));
-  const auto clear = here.succeeded(Innocent, T0 + 2s);
-  REQUIRE(clear.size() == 1);
-  CHECK(here.succeeded(Innocent, T0 + 2s).empty());
-  CHECK(there.merge(clear.front(), T0 + 2s));
-  CHECK_FALSE(there.merge(clear.front(), T0 + 2s));
-  CHECK(there.size() == 0);
+  PoisonTable first{1};
+  PoisonTable second{2};
+  const auto crash = first.serverCrashed(First, {Harmless}, T0 + 1s);
+  REQUIRE(second.merge(crash.front(), T0 + 1s));
+  const auto removeCrash = first.requestAnswered(Harmless, T0 + 2s);
+  REQUIRE(removeCrash.size() == 1);
+  CHECK(first.requestAnswered(Harmless, T0 + 2s).empty());
+  CHECK(second.merge(removeCrash.front(), T0 + 2s));
+  CHECK_FALSE(second.merge(removeCrash.front(), T0 + 2s));
+  CHECK(second.size() == 0);
   // On arrival a copy that took long seems to be of a later death.
-  auto copy = death.front();
+  auto copy = crash.front();
   copy.Age = Duration::zero();
-  CHECK_FALSE(there.merge(copy, T0 + 3s));
-  CHECK(there.size() == 0);
-  there.serverDied(Second, {Innocent}, T0 + 4s);
-  CHECK_FALSE(there.quarantined(Innocent, T0 + 4s));
+  CHECK_FALSE(second.merge(copy, T0 + 3s));
+  CHECK(second.size() == 0);
+  second.serverCrashed(Second, {Harmless}, T0 + 4s);
+  CHECK_FALSE(second.quarantined(Harmless, T0 + 4s));
   // An answer that does not know of a death does not clear it.
-  CHECK_FALSE(there.merge(clear.front(), T0 + 5s));
-  CHECK(there.size() == 1);
+  CHECK_FALSE(second.merge(removeCrash.front(), T0 + 5s));
+  CHECK(second.size() == 1);
 }
 
 // Guards against a fleet that is divided on a request: the answer may arrive
 // before the death that it clears.
 TEST_CASE("an answer that overtakes its death clears it", "[poison]") {
-  PoisonTable here{1};
-  PoisonTable there{2};
-  const auto death = here.serverDied(First, {Innocent}, T0 + 1s);
-  const auto clear = here.succeeded(Innocent, T0 + 2s);
-  REQUIRE(clear.size() == 1);
-  CHECK(there.merge(clear.front(), T0 + 2s));
-  CHECK_FALSE(there.merge(death.front(), T0 + 2s));
-  CHECK(there.size() == 0);
+  PoisonTable first{1};
+  PoisonTable second{2};
+  const auto crash = first.serverCrashed(First, {Harmless}, T0 + 1s);
+  const auto removeCrash = first.requestAnswered(Harmless, T0 + 2s);
+  REQUIRE(removeCrash.size() == 1);
+  CHECK(second.merge(removeCrash.front(), T0 + 2s));
+  CHECK_FALSE(second.merge(crash.front(), T0 + 2s));
+  CHECK(second.size() == 0);
 }
 
 // Guards against a step that is passed on forever by daemons that forgot it.
 TEST_CASE("a step is passed on a bounded number of times", "[poison]") {
-  PoisonTable here{1};
-  auto step = here.serverDied(First, {Poison}, T0).front();
+  PoisonTable first{1};
+  auto step = first.serverCrashed(First, {Crashing}, T0).front();
   std::size_t passed = 0;
   for (std::uint64_t seed = 2; seed < 100; ++seed) {
     PoisonTable next{seed};
-    const auto further = next.merge(step, T0);
+    const auto isAdvance = next.merge(step, T0);
     CHECK(next.size() == 1);
-    if (!further) {
+    if (!isAdvance) {
       break;
     }
-    step = *further;
+    step = *isAdvance;
     ++passed;
   }
   CHECK(passed == PoisonTable::MaxHops);
   // What a probe carries is not passed on.
   PoisonTable probed{100};
-  CHECK_FALSE(probed.merge(here.steps(1, T0).front(), T0));
+  CHECK_FALSE(probed.merge(first.activeCrashes(1, T0).front(), T0));
   CHECK(probed.size() == 1);
 }
 
@@ -123,36 +123,37 @@
 // deaths, and against a request that is never suspected after one answer.
 TEST_CASE("a request that was just answered is innocent", "[poison]") {
   PoisonTable table{1};
-  CHECK_FALSE(table.isInnocent(Innocent, T0 + 1s));
-  table.succeeded(Innocent, T0 + 1s);
-  CHECK(table.isInnocent(Innocent, T0 + 2s));
-  CHECK_FALSE(table.isInnocent(Poison, T0 + 2s));
-  CHECK_FALSE(table.isInnocent(Innocent, T0 + 1s + PoisonTable::InnocentTime));
+  CHECK_FALSE(table.wasRecentlyAnswered(Harmless, T0 + 1s));
+  table.requestAnswered(Harmless, T0 + 1s);
+  CHECK(table.wasRecentlyAnswered(Harmless, T0 + 2s));
+  CHECK_FALSE(table.wasRecentlyAnswered(Crashing, T0 + 2s));
+  CHECK_FALSE(table.wasRecentlyAnswered(
+      Harmless, T0 + 1s + PoisonTable::RecentAnswerWindow));
 }
 
 // Guards against deaths that a joining daemon does not learn, an answer to it
 // that grows without bound, and ages that start anew on the way.
 TEST_CASE("known deaths keep their age", "[poison]") {
-  PoisonTable here{1};
-  here.serverDied(First, {Innocent, Poison}, T0);
-  here.serverDied(Second, {Poison}, T0 + 1min);
-  CHECK(here.steps(2, T0 + 2min).size() == 2);
-  CHECK(here.steps(9, T0 + 10min).size() == 1);
+  PoisonTable first{1};
+  first.serverCrashed(First, {Harmless, Crashing}, T0);
+  first.serverCrashed(Second, {Crashing}, T0 + 1min);
+  CHECK(first.activeCrashes(2, T0 + 2min).size() == 2);
+  CHECK(first.activeCrashes(9, T0 + 10min).size() == 1);
   PoisonTable joining{3};
-  for (const auto &it : here.steps(9, T0 + 2min)) {
+  for (const auto &it : first.activeCrashes(9, T0 + 2min)) {
     CHECK_FALSE(joining.merge(it, T0 + 1h));
   }
   CHECK(joining.size() == 2);
-  CHECK(joining.quarantined(Poison, T0 + 1h) == 9min);
+  CHECK(joining.quarantined(Crashing, T0 + 1h) == 9min);
 }
 
 // Guards against unbounded memory when many servers die.
 TEST_CASE("the oldest digest is evicted at the bound", "[poison]") {
   PoisonTable table{1};
   for (std::uint64_t n = 0; n <= PoisonTable::MaxDigests; ++n) {
-    table.serverDied(First, {static_cast<RequestDigest>(n)}, T0);
+    table.serverCrashed(First, {static_cast<RequestDigest>(n)}, T0);
   }
   CHECK(table.size() == PoisonTable::MaxDigests);
-  table.serverDied(Second, {static_cast<RequestDigest>(0)}, T0);
+  table.serverCrashed(Second, {static_cast<RequestDigest>(0)}, T0);
   CHECK_FALSE(table.quarantined(static_cast<RequestDigest>(0), T0));
 }
