--- a/include/chivefold/core/router.h
+++ b/include/chivefold/core/router.h
@@ -48,9 +48,9 @@
 
 struct RouterTuning {
   /** The own data centre is preferred while its score is within this factor. */
-  double LocalFactor = 2.0;
+  double LocalPreferenceFactor = 2.0;
   /** Time in which the preference for the own data centre comes back. */
-  Duration ReturnTime = std::chrono::seconds(5);
+  Duration LocalPreferenceRecoveryTime = std::chrono::seconds(5);
   /** Time in which errors and gate states lose half of their weight. */
   Duration ErrorHalfLife = std::chrono::seconds(5);
   Duration GateHalfLife = std::chrono::milliseconds(500);
@@ -120,14 +120,14 @@
     Candidate Info;
     std::uint32_t InFlight = 0;
     /** Smoothed latency in microseconds; 0 before the first answer. */
-    double Latency = 0;
+    double LatencyUs = 0;
     TimePoint LatencyAt{};
     /** Smoothed share of failures and refusals, 0 to 1, as of ErrorsAt. */
     double Errors = 0;
     TimePoint ErrorsAt{};
     GateState Gate;
     /** Load at the gate that other daemons caused, as of GateAt. */
-    double OtherLoad = 0;
+    double ExternalLoad = 0;
     TimePoint GateAt{};
     TimePoint NotBefore{};
   };
@@ -135,9 +135,9 @@
   struct Pool {
     std::vector<std::uint32_t> Local;
     std::vector<std::uint32_t> Remote;
-    /** 0: local preferred by LocalFactor; 1: no preference. */
-    double Spill = 0;
-    TimePoint SpillAt{};
+    /** 0: local preferred by LocalPreferenceFactor; 1: no preference. */
+    double Spillover = 0;
+    TimePoint SpilloverAt{};
   };
   struct ServiceState {
     VersionSplit Split;
@@ -150,7 +150,7 @@
      * 10,000. Negative after Next took a call beyond its turn. */
     std::int64_t Accumulator = 0;
     /** Typical latency of the service in microseconds. */
-    double Latency = 0;
+    double LatencyUs = 0;
   };
   struct Pick {
     Server *Chosen = nullptr;
@@ -158,10 +158,10 @@
   };
 
   Server *find(const Address &peer);
-  ServiceState &stateOf(const Server &server);
+  ServiceState &serviceOf(const Server &server);
   void attach(std::uint32_t index);
   void detach(std::uint32_t index);
-  void rebuild(ServiceState &service);
+  void rebuildPools(ServiceState &service);
   bool takenOut(const std::string &dataCentre) const;
   static bool usable(const Server &server, const std::vector<Address> &tried,
                      TimePoint now);
@@ -172,14 +172,15 @@
   double errorsAt(const Server &server, TimePoint now) const;
   void addError(Server &server, double weight, TimePoint now);
   void addLatency(Server &server, double latency, TimePoint now);
-  static void learnGate(Server &server, const GateState &gate, TimePoint now);
+  static void updateGateState(Server &server, const GateState &gate,
+                              TimePoint now);
   Pick pickFrom(const std::vector<std::uint32_t> &pool,
                 const ServiceState &service, const std::vector<Address> &tried,
                 TimePoint now);
-  Server *pickPool(Pool &pool, const ServiceState &service,
-                   const std::vector<Address> &tried, TimePoint now);
-  static bool drawNext(ServiceState &service, bool firstAttempt);
-  Duration earliest(const Pool &pool, TimePoint now) const;
+  Server *pickFromPool(Pool &pool, const ServiceState &service,
+                       const std::vector<Address> &tried, TimePoint now);
+  static bool selectsNext(ServiceState &service, bool firstAttempt);
+  Duration earliestRetry(const Pool &pool, TimePoint now) const;
 
   std::mt19937_64 Random;
   std::string OwnDataCentre;
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -8,35 +8,35 @@
 
 constexpr std::int64_t FullShare = 10000;
 /** Latency of a service before its first answer, in microseconds. */
-constexpr double FirstLatency = 1000;
-constexpr double LatencyWeight = 0.2;
-constexpr double TypicalWeight = 0.02;
+constexpr double InitialLatencyUs = 1000;
+constexpr double ServerLatencyWeight = 0.2;
+constexpr double ServiceLatencyWeight = 0.02;
 constexpr double FailureWeight = 0.3;
 constexpr double RefusalWeight = 0.05;
 /** An idle server counts as this many requests in flight, so that an idle cold
  * one is used once the others are about half loaded. */
-constexpr double IdleLoad = 0.5;
+constexpr double IdleServerLoad = 0.5;
 /** Below this load, data centres are not compared: it is no reason to leave
  * the own one. */
-constexpr double LowLoad = 0.5;
+constexpr double MinComparedLoad = 0.5;
 /** Factor for a server whose limit is reached, on top of its load. */
-constexpr double FullFactor = 3;
-constexpr double SpillStep = 0.1;
-constexpr int RandomDraws = 6;
+constexpr double LimitReachedFactor = 3;
+constexpr double SpilloverStep = 0.1;
+constexpr int MaxRandomDraws = 6;
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
 /** After this many half-lives an observation is forgotten; a remainder would
  * keep a recovered server unused while all servers are idle. */
-constexpr double MaxHalves = 4;
+constexpr double MaxHalfLives = 4;
 
 /** @return the weight that an observation has left at @p age. */
-double fade(Duration age, Duration halfLife) {
-  const double halves = seconds(age) / seconds(halfLife);
-  if (halves >= MaxHalves) {
+double remainingWeight(Duration age, Duration halfLife) {
+  const double halfLives = seconds(age) / seconds(halfLife);
+  if (halfLives >= MaxHalfLives) {
     return 0;
   }
-  return halves <= 0 ? 1 : std::exp2(-halves);
+  return halfLives <= 0 ? 1 : std::exp2(-halfLives);
 }
 
 bool contains(const std::vector<Address> &list, const Address &address) {
@@ -54,22 +54,22 @@
   return it == ByAddress.end() ? nullptr : &Servers[it->second];
 }
 
-Router::ServiceState &Router::stateOf(const Server &server) {
+Router::ServiceState &Router::serviceOf(const Server &server) {
   return Services[server.Info.Service];
 }
 
 void Router::attach(std::uint32_t index) {
-  auto &service = stateOf(Servers[index]);
+  auto &service = serviceOf(Servers[index]);
   service.Members.push_back(index);
-  rebuild(service);
+  rebuildPools(service);
 }
 
 void Router::detach(std::uint32_t index) {
-  auto &service = stateOf(Servers[index]);
+  auto &service = serviceOf(Servers[index]);
   auto &members = service.Members;
   members.erase(std::remove(members.begin(), members.end(), index),
                 members.end());
-  rebuild(service);
+  rebuildPools(service);
   if (members.empty() && !service.HasSplit) {
     Services.erase(Servers[index].Info.Service);
   }
@@ -82,7 +82,7 @@
     if (server.Info.Service == candidate.Service &&
         server.Info.ServiceVersion == candidate.ServiceVersion) {
       server.Info = candidate;
-      rebuild(stateOf(server));
+      rebuildPools(serviceOf(server));
       return;
     }
     remove(candidate.Peer);
@@ -118,7 +118,7 @@
 void Router::setTakenOut(const std::vector<std::string> &dataCentres) {
   TakenOut = dataCentres;
   for (auto &[name, service] : Services) {
-    rebuild(service);
+    rebuildPools(service);
   }
 }
 
@@ -131,7 +131,7 @@
   }
   state.HasSplit = true;
   state.Split = split;
-  rebuild(state);
+  rebuildPools(state);
 }
 
 void Router::removeService(const std::string &service) {
@@ -141,7 +141,7 @@
   }
   it->second.HasSplit = false;
   it->second.Split = {};
-  rebuild(it->second);
+  rebuildPools(it->second);
   if (it->second.Members.empty()) {
     Services.erase(it);
   }
@@ -152,7 +152,7 @@
          TakenOut.end();
 }
 
-void Router::rebuild(ServiceState &service) {
+void Router::rebuildPools(ServiceState &service) {
   for (auto *pool : {&service.Current, &service.Next}) {
     pool->Local.clear();
     pool->Remote.clear();
@@ -183,21 +183,24 @@
 }
 
 double Router::errorsAt(const Server &server, TimePoint now) const {
-  return server.Errors == 0 ? 0
-                            : server.Errors * fade(now - server.ErrorsAt,
-                                                   Tuning.ErrorHalfLife);
+  return server.Errors == 0
+             ? 0
+             : server.Errors *
+                   remainingWeight(now - server.ErrorsAt, Tuning.ErrorHalfLife);
 }
 
 double Router::latencyAt(const Server &server, const ServiceState &service,
                          TimePoint now) const {
-  const double typical = service.Latency > 0 ? service.Latency : FirstLatency;
-  if (server.Latency == 0) {
+  const double typical =
+      service.LatencyUs > 0 ? service.LatencyUs : InitialLatencyUs;
+  if (server.LatencyUs == 0) {
     return typical;
   }
   // An old measurement gives way to the typical one, so that a server that was
   // slow is tried again.
-  return typical + (server.Latency - typical) *
-                       fade(now - server.LatencyAt, Tuning.ErrorHalfLife);
+  return typical +
+         (server.LatencyUs - typical) *
+             remainingWeight(now - server.LatencyAt, Tuning.ErrorHalfLife);
 }
 
 double Router::score(const Server &server, const ServiceState &service,
@@ -205,14 +208,15 @@
   const double latency = latencyAt(server, service, now);
   const double limit = std::max(1U, server.Gate.Limit);
   double load = server.InFlight;
-  if (server.OtherLoad > 0) {
-    load += server.OtherLoad * fade(now - server.GateAt, Tuning.GateHalfLife);
+  if (server.ExternalLoad > 0) {
+    load += server.ExternalLoad *
+            remainingWeight(now - server.GateAt, Tuning.GateHalfLife);
   }
-  const double full = load >= limit ? FullFactor : 1;
+  const double limitFactor = load >= limit ? LimitReachedFactor : 1;
   const double errors = errorsAt(server, now);
   // Squared, so that a single error does not turn away a good server.
   const double penalty = 1 + Tuning.ErrorPenalty * errors * errors;
-  return latency * (load + IdleLoad) / limit * full * penalty;
+  return latency * (load + IdleServerLoad) / limit * limitFactor * penalty;
 }
 
 Router::Pick Router::pickFrom(const std::vector<std::uint32_t> &pool,
@@ -235,7 +239,7 @@
     ++found;
   };
   if (pool.size() > 2) {
-    for (int n = 0; n < RandomDraws && found < 2; ++n) {
+    for (int n = 0; n < MaxRandomDraws && found < 2; ++n) {
       consider(pool[Random() % pool.size()]);
     }
   }
@@ -248,28 +252,32 @@
   return best;
 }
 
-Router::Server *Router::pickPool(Pool &pool, const ServiceState &service,
-                                 const std::vector<Address> &tried,
-                                 TimePoint now) {
+Router::Server *Router::pickFromPool(Pool &pool, const ServiceState &service,
+                                     const std::vector<Address> &tried,
+                                     TimePoint now) {
   const auto local = pickFrom(pool.Local, service, tried, now);
   const auto remote = pickFrom(pool.Remote, service, tried, now);
   if (local.Chosen == nullptr || remote.Chosen == nullptr) {
     return local.Chosen != nullptr ? local.Chosen : remote.Chosen;
   }
-  pool.Spill = std::max(0.0, pool.Spill - seconds(now - pool.SpillAt) /
-                                              seconds(Tuning.ReturnTime));
-  pool.SpillAt = now;
-  const double low =
-      LowLoad * (service.Latency > 0 ? service.Latency : FirstLatency);
-  const double factor = 1 + (Tuning.LocalFactor - 1) * (1 - pool.Spill);
-  if (std::max(local.Score, low) <= factor * std::max(remote.Score, low)) {
+  pool.Spillover = std::max(
+      0.0, pool.Spillover - seconds(now - pool.SpilloverAt) /
+                                seconds(Tuning.LocalPreferenceRecoveryTime));
+  pool.SpilloverAt = now;
+  const double minLatencyScore =
+      MinComparedLoad *
+      (service.LatencyUs > 0 ? service.LatencyUs : InitialLatencyUs);
+  const double factor =
+      1 + (Tuning.LocalPreferenceFactor - 1) * (1 - pool.Spillover);
+  if (std::max(local.Score, minLatencyScore) <=
+      factor * std::max(remote.Score, minLatencyScore)) {
     return local.Chosen;
   }
-  pool.Spill = std::min(1.0, pool.Spill + SpillStep);
+  pool.Spillover = std::min(1.0, pool.Spillover + SpilloverStep);
   return remote.Chosen;
 }
 
-bool Router::drawNext(ServiceState &service, bool firstAttempt) {
+bool Router::selectsNext(ServiceState &service, bool firstAttempt) {
   const auto share = static_cast<std::int64_t>(service.Split.ShareBasisPoints);
   if (service.Split.Next.empty() || share <= 0) {
     return false;
@@ -285,7 +293,7 @@
   return true;
 }
 
-Duration Router::earliest(const Pool &pool, TimePoint now) const {
+Duration Router::earliestRetry(const Pool &pool, TimePoint now) const {
   Duration wait = Duration::max();
   for (const auto *list : {&pool.Local, &pool.Remote}) {
     for (std::size_t n = 0; n < std::min(list->size(), MaxScan); ++n) {
@@ -302,37 +310,39 @@
     return {};
   }
   auto &state = it->second;
-  const bool isNext = drawNext(state, tried.empty());
+  const bool isNext = selectsNext(state, tried.empty());
   auto &wanted = isNext ? state.Next : state.Current;
-  auto *server = pickPool(wanted, state, tried, now);
+  auto *server = pickFromPool(wanted, state, tried, now);
   if (server == nullptr && isNext) {
-    server = pickPool(state.Current, state, tried, now);
+    server = pickFromPool(state.Current, state, tried, now);
   } else if (server == nullptr && state.Split.ShareBasisPoints > 0 &&
              state.Accumulator >= 0) {
     // Next takes a call before its turn, so that its share holds over time.
-    server = pickPool(state.Next, state, tried, now);
+    server = pickFromPool(state.Next, state, tried, now);
     state.Accumulator -= server != nullptr ? FullShare : 0;
   }
   if (server != nullptr) {
     return {true, server->Info.Peer, server->Info.ServiceVersion, {}};
   }
-  const auto wait = earliest(wanted, now);
+  const auto wait = earliestRetry(wanted, now);
   const bool isKnown = wait > Duration::zero() && wait != Duration::max();
   return {false, {}, {}, isKnown ? wait : Duration::zero()};
 }
 
-void Router::learnGate(Server &server, const GateState &gate, TimePoint now) {
+void Router::updateGateState(Server &server, const GateState &gate,
+                             TimePoint now) {
   server.Gate = gate;
-  server.OtherLoad =
+  server.ExternalLoad =
       std::max(0.0, static_cast<double>(gate.InFlight) + gate.Queued -
                         static_cast<double>(server.InFlight));
   server.GateAt = now;
 }
 
 void Router::addLatency(Server &server, double latency, TimePoint now) {
-  const double known = latencyAt(server, stateOf(server), now);
-  server.Latency =
-      server.Latency == 0 ? latency : known + LatencyWeight * (latency - known);
+  const double known = latencyAt(server, serviceOf(server), now);
+  server.LatencyUs = server.LatencyUs == 0
+                         ? latency
+                         : known + ServerLatencyWeight * (latency - known);
   server.LatencyAt = now;
 }
 
@@ -359,10 +369,10 @@
   addLatency(*server, sample, now);
   server->Errors = errorsAt(*server, now) * (1 - FailureWeight / 3);
   server->ErrorsAt = now;
-  learnGate(*server, gate, now);
-  auto &typical = stateOf(*server).Latency;
-  typical =
-      typical == 0 ? sample : typical + TypicalWeight * (sample - typical);
+  updateGateState(*server, gate, now);
+  auto &typical = serviceOf(*server).LatencyUs;
+  typical = typical == 0 ? sample
+                         : typical + ServiceLatencyWeight * (sample - typical);
 }
 
 void Router::refused(const Address &peer, const GateState &gate,
@@ -373,7 +383,7 @@
   }
   server->InFlight -= server->InFlight > 0 ? 1 : 0;
   addError(*server, RefusalWeight, now);
-  learnGate(*server, gate, now);
+  updateGateState(*server, gate, now);
   server->NotBefore = now + std::min(retryAfter, Tuning.MaxBackOff);
 }
 
@@ -384,10 +394,10 @@
   }
   server->InFlight -= server->InFlight > 0 ? 1 : 0;
   addError(*server, FailureWeight, now);
-  addLatency(
-      *server,
-      std::max(static_cast<double>(latency.count()), stateOf(*server).Latency),
-      now);
+  addLatency(*server,
+             std::max(static_cast<double>(latency.count()),
+                      serviceOf(*server).LatencyUs),
+             now);
 }
 
 void Router::cancelled(const Address &peer) {
--- a/tests/unit/router_test.cpp
+++ b/tests/unit/router_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr TimePoint T0{};
-const GateState Warm{10, 2, 0, false, false};
+const GateState WarmGate{10, 2, 0, false, false};
 
 Address address(int n) { return {"127.0.0.1", static_cast<std::uint16_t>(n)}; }
 
@@ -29,7 +29,7 @@
 
 /** Makes a call that takes @p latency and is answered. */
 RouteChoice call(Router &router, TimePoint now, Duration latency = 5ms,
-                 const GateState &gate = Warm) {
+                 const GateState &gate = WarmGate) {
   auto choice = router.choose("desk", {}, now);
   if (choice.Found) {
     router.started(choice.Peer, now);
@@ -122,7 +122,7 @@
   const GateState busy{10, 8, 0, false, false};
   std::map<std::uint16_t, int> counts;
   TimePoint now = T0;
-  const auto drive = [&](bool faulty) {
+  const auto sendCalls = [&](bool faulty) {
     counts.clear();
     for (int n = 0; n < 3000; ++n, now += 2ms) {
       const auto choice = router.choose("desk", {}, now);
@@ -131,16 +131,16 @@
       ++counts[port];
       const bool isSlow = faulty && port == 1;
       const bool isCold = faulty && port == 2;
-      const auto &other = faulty ? Warm : busy;
+      const auto &other = faulty ? WarmGate : busy;
       router.answered(choice.Peer, isSlow ? 60ms : 5ms,
                       isCold ? GateState{1, 1, 2, true, false} : other, now);
     }
   };
-  drive(true);
+  sendCalls(true);
   // An equal share would be 1,000; one pair of 15 consists of both bad ones.
   CHECK(counts[1] + counts[2] < 250);
   now += 20s;
-  drive(false);
+  sendCalls(false);
   CHECK(counts[1] > 200);
   CHECK(counts[2] > 200);
 }
@@ -152,20 +152,20 @@
   add(router, 1, 3, "a");
   add(router, 11, 3, "b");
   router.setSplit("desk", {"v1", "", 0});
-  const auto locals = [&](TimePoint now, const GateState &local) {
+  const auto countLocal = [&](TimePoint now, const GateState &local) {
     int count = 0;
     for (int n = 0; n < 200; ++n) {
       const auto choice = router.choose("desk", {}, now);
       const bool isLocal = choice.Peer.Port < 10;
       count += isLocal ? 1 : 0;
       router.started(choice.Peer, now);
-      router.answered(choice.Peer, 5ms, isLocal ? local : Warm, now);
+      router.answered(choice.Peer, 5ms, isLocal ? local : WarmGate, now);
     }
     return count;
   };
-  CHECK(locals(T0, Warm) == 200);
-  CHECK(locals(T0 + 1s, {10, 10, 5, false, false}) < 20);
-  CHECK(locals(T0 + 20s, Warm) == 200);
+  CHECK(countLocal(T0, WarmGate) == 200);
+  CHECK(countLocal(T0 + 1s, {10, 10, 5, false, false}) < 20);
+  CHECK(countLocal(T0 + 20s, WarmGate) == 200);
 }
 
 // Guards against new work for data centres taken out, for leaving, dead or
@@ -184,7 +184,7 @@
   dead.Alive = false;
   router.update(dead);
   router.started(address(5), T0);
-  router.refused(address(5), Warm, 300ms, T0);
+  router.refused(address(5), WarmGate, 300ms, T0);
   for (int n = 0; n < 50; ++n) {
     CHECK(router.choose("desk", {}, T0).Peer == address(1));
   }
