--- a/include/chivefold/core/rate_limit.h
+++ b/include/chivefold/core/rate_limit.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A bound on how often something is done.
+ * Rate limiter.
  */
 #ifndef CHIVEFOLD_CORE_RATE_LIMIT_H
 #define CHIVEFOLD_CORE_RATE_LIMIT_H
@@ -9,17 +9,19 @@
 
 namespace chivefold {
 
-/** Token bucket, full at the start. Not thread-safe. */
+/** Limits the rate of an operation with a token bucket, which starts full. Each
+ * operation takes one token. Not thread-safe. */
 class RateLimiter {
 public:
-  /** @param perSecond tokens gained a second. @param burst tokens kept at
-   * most. */
+  /** @param perSecond tokens added per second. @param burst capacity of the
+   * bucket. */
   RateLimiter(double perSecond, double burst, TimePoint now);
 
-  /** @return whether it may be done now; if so a token is taken. */
+  /** Takes a token if there is one. @return whether the operation may be done
+   * now. */
   bool tryAcquire(TimePoint now);
 
-  /** Adds tokens, up to the burst. */
+  /** Adds tokens, up to the capacity of the bucket. */
   void add(double tokens);
 
 private:
