--- a/include/chivefold/core/call_policy.h
+++ b/include/chivefold/core/call_policy.h
@@ -15,108 +15,112 @@
 
 namespace chivefold {
 
-/** Least status of an answer with which a server says that it failed. */
+/** Lowest HTTP status that reports a server error. */
 constexpr int MinServerErrorStatus = 500;
 
-/** Retries that a call tree starts with, when its caller states none. */
+/** Retry budget of a call tree whose caller states none. */
 constexpr std::uint32_t DefaultRetryBudget = 2;
-/** Larger numbers in a header are cut to this. */
+/** Upper bound of the retry budget; a larger value in a request header is
+ * reduced to it. */
 constexpr std::uint32_t MaxRetryBudget = 3;
 
 /**
- * Retries that a daemon may make, shared by all its calls. Each answered call
- * earns a tenth of a retry, so retries stay under 10% of calls, and when all
- * calls fail they stop: 8 levels that fail together cannot multiply each
- * other's calls. A small refill over time lets a quiet daemon retry.
- * Not thread-safe.
+ * Token bucket that limits the retries of a daemon, shared by all its calls.
+ * Each answered call adds a tenth of a retry, so retries stay under 10% of the
+ * calls. When all calls fail, no tokens are added and retries stop, so that 8
+ * service levels that fail together do not multiply each other's calls. A small
+ * refill over time lets a daemon with few calls retry. Not thread-safe.
  */
 class RetryTokens {
 public:
   static constexpr double TokensPerAnswer = 0.1;
   static constexpr double MaxTokens = 10;
-  /** Tokens gained per second without any call. */
+  /** Refill that does not depend on calls. */
   static constexpr double TokensPerSecond = 0.1;
 
   explicit RetryTokens(TimePoint now);
-  /** A call was answered without a server error. */
+  /** Adds the tokens for a call that was answered without a server error. */
   void recordAnswer();
-  /** @return whether a retry may be made; if so it is taken. */
+  /** Takes the token for one retry. @return whether the retry may be made. */
   bool tryAcquire(TimePoint now);
 
 private:
   RateLimiter Tokens;
 };
 
-/** What the policy must know of a call. */
+/** Properties of a call that decide its attempts. */
 struct CallParameters {
   TimePoint Deadline{};
-  /** Whether running the request twice is harmless. */
+  /** Whether the request may be run more than once. */
   bool Repeatable = false;
-  /** Retries left for the whole call tree, from the request's header. */
+  /** Retries left for the whole call tree, from the request header. */
   std::uint32_t RetryBudget = DefaultRetryBudget;
 };
 
 enum class CallEventKind : std::uint8_t {
-  /** The call arrived, or a wait is over. */
+  /** The call arrived, or a wait before another attempt is over. */
   Started,
-  /** The router found Server. */
+  /** The router chose Server. */
   Routed,
   /** The router found no usable server. */
   NotRouted,
-  /** The gate refused; certainly not run. */
+  /** The gate refused the request, which was not run. */
   RefusedNotRun,
-  /** No byte of the request left; certainly not run. */
+  /** No byte of the request was sent, so it was not run. */
   FailedNotSent,
-  /** The connection failed after the request was sent. */
+  /** The connection failed after the request was sent; it may have run. */
   FailedMayHaveRun,
   /** The server answered with Status. */
   Answered,
-  /** The deadline of the attempt passed. */
+  /** The deadline of the attempt passed; the request may have run. */
   AttemptTimedOut,
-  /** The caller is gone. */
+  /** The caller cancelled the call or disconnected. */
   Cancelled
 };
 
 struct CallEvent {
   CallEventKind Kind = CallEventKind::Started;
-  /** For Routed. */
+  /** For Routed: the chosen server. */
   Address Server;
-  /** For RefusedNotRun and NotRouted: when to try again. */
+  /** For RefusedNotRun and NotRouted: time after which to try again. */
   Duration RetryAfter{};
-  /** For Answered: status of the response. */
+  /** For Answered: HTTP status of the response. */
   std::uint16_t Status = 0;
-  /** For RefusedNotRun: why, for example Overloaded. */
+  /** For RefusedNotRun: the reason, for example Overloaded. */
   ErrorCode Code = ErrorCode::Ok;
 };
 
-/** Ask the router, excluding CallPolicy::tried(); report Routed or NotRouted.
+/** Ask the router for a server other than those in CallPolicy::tried(), then
+ * report Routed or NotRouted.
  */
 struct FindRoute {};
 
 /** Send the request to Server. */
 struct SendTo {
   Address Server;
-  /** When this attempt is given up; at most the deadline of the call. */
+  /** Time at which this attempt is abandoned; not later than the deadline of
+   * the call. */
   TimePoint AttemptDeadline{};
-  /** Goes into the header of the attempt. */
+  /** Value of the retry budget header of the attempt. */
   std::uint32_t RetryBudget = 0;
   std::uint32_t Attempt = 1;
 };
 
-/** Nothing to do until the next event. */
+/** Wait for the next event. */
 struct AwaitEvent {};
 
 /**
- * The final answer; given once, as soon as no attempt can follow. For Answered
- * it is the response of the latest Answered event, which the caller of the
- * policy keeps: an answer with a server error may be followed by another
- * attempt on a repeatable route, and is final if that fails otherwise.
+ * End the call with this result. Returned once, as soon as no further attempt
+ * is possible. If Result is Answered, the response to return is that of the
+ * latest Answered event, which the user of the policy must keep: on a
+ * repeatable route, an answer with a server error may be followed by another
+ * attempt, and it remains the result if no later attempt is answered.
  */
 struct FinishCall {
   Outcome Result = Outcome::Unknown;
-  /** Status of the response; 503 or 429 for NotRun, 504 for Unknown. */
+  /** HTTP status of the response; 503 or 429 for NotRun, 504 for Unknown. */
   std::uint16_t Status = 0;
-  /** For NotRun and Unknown. */
+  /** For NotRun and Unknown: time after which the caller may try again. */
   Duration RetryAfter{};
   ErrorCode Code = ErrorCode::Ok;
 };
@@ -124,28 +128,29 @@
 using CallDecision = std::variant<FindRoute, SendTo, AwaitEvent, FinishCall>;
 
 /**
- * Decides the attempts of one call. An attempt that may have run is followed
- * by another only on a repeatable route; "not run" is answered only if no
- * attempt may have run. Not thread-safe.
+ * State machine that decides the attempts of one call. After an attempt that
+ * may have run, another one is made only on a repeatable route. The result is
+ * NotRun only if none of the attempts can have run. Not thread-safe.
  */
 class CallPolicy {
 public:
   static constexpr std::uint32_t MaxAttempts = 3;
-  /** An attempt with less time than this is not begun. */
+  /** An attempt is not started with less time than this before its deadline. */
   static constexpr Duration MinAttemptTime = std::chrono::milliseconds(2);
-  /** Retry-after time of an answer for which no server stated one. */
+  /** Retry-after time of a result for which no server stated one. */
   static constexpr Duration DefaultRetryAfter = std::chrono::milliseconds(200);
 
-  /** @param tokens of the daemon; outlives this object. */
+  /** @param tokens retry tokens of the daemon; must outlive this object. */
   CallPolicy(const CallParameters &parameters, RetryTokens &tokens);
 
-  /** Takes an event. Events after FinishCall give AwaitEvent. */
+  /** Handles an event. @return what to do next; AwaitEvent for any event after
+   * FinishCall. */
   CallDecision next(const CallEvent &event, TimePoint now);
 
-  /** @return the servers that this call has used. */
+  /** @return the servers to which an attempt of this call was sent. */
   const std::vector<Address> &tried() const;
 
-  /** @return whether an attempt may have run. */
+  /** @return whether an attempt of this call may have run. */
   bool mayHaveRun() const;
 
 private:
@@ -158,7 +163,7 @@
   RetryTokens &Tokens;
   std::vector<Address> TriedServers;
   std::uint32_t Attempts = 0;
-  /** Status of an answer with a server error; 0 if there was none. */
+  /** Status of the latest answer with a server error; 0 if there was none. */
   std::uint16_t ErrorStatus = 0;
   bool AttemptInFlight = false;
   bool MayHaveRun = false;
--- a/src/core/call_policy.cpp
+++ b/src/core/call_policy.cpp
@@ -71,7 +71,7 @@
   ++Attempts;
   AttemptInFlight = true;
   TriedServers.push_back(server);
-  // Half of the time is kept for another attempt where one may follow.
+  // Keeps half of the remaining time for a retry if one is possible.
   const bool mayRetry = Parameters.Repeatable && Parameters.RetryBudget > 0 &&
                         Attempts < MaxAttempts &&
                         timeLeft >= 4 * MinAttemptTime;
--- a/tests/unit/call_policy_test.cpp
+++ b/tests/unit/call_policy_test.cpp
@@ -19,7 +19,8 @@
   return e;
 }
 
-/** A chain of services that all fail, each level with its own daemon. */
+/** A chain of failing services; each level has the retry tokens of its own
+ * daemon. */
 struct FailingChain {
   std::vector<RetryTokens> Tokens =
       std::vector<RetryTokens>(Levels, RetryTokens(T0));
@@ -50,7 +51,8 @@
 
 } // namespace
 
-// Guards against retries that multiply from level to level when all fail.
+// Guards against retry amplification: when all levels of a call tree fail, the
+// retries of each level must not multiply those of the levels above.
 TEST_CASE("retries of 8 failing levels do not multiply", "[call]") {
   FailingChain chain;
   constexpr int calls = 1000;
@@ -59,12 +61,12 @@
   }
   const double factor = static_cast<double>(chain.DeepestCalls) / calls;
   std::cout << "deepest calls per call: " << factor << " with the budget, "
-            << callsWithoutBudget(0) << " with three blind retries\n";
+            << callsWithoutBudget(0) << " with three unconditional retries\n";
   CHECK(factor < 1.2);
 }
 
-// Guards against a second run of work that must not be repeated, against "not
-// run" for a call that may have run, and against a call without an end.
+// Guards against running a non-repeatable request twice, against the result
+// NotRun for a call that may have run, and against a call that never ends.
 TEST_CASE("a call that may have run is not repeated", "[call]") {
   CHECK(rc::check([] {
     RetryTokens tokens(T0);
@@ -105,8 +107,8 @@
   }));
 }
 
-// Guards against a wrong status, and against a final answer that is held back
-// although no attempt can follow.
+// Guards against a wrong status, and against a result that is delayed although
+// no further attempt is possible.
 TEST_CASE("a rejection without another attempt is final at once", "[call]") {
   RetryTokens tokens(T0);
   CallPolicy policy({T0 + 1s, false, 0}, tokens);
@@ -124,8 +126,8 @@
           .Status == 503);
 }
 
-// Guards against hiding a server's error behind a failed retry, and against
-// repeating work that must run once because its answer was an error.
+// Guards against a failed retry that replaces the server's error answer, and
+// against retrying a non-repeatable request after an error answer.
 TEST_CASE("an error answer is repeated only on a repeatable route", "[call]") {
   RetryTokens tokens(T0);
   auto error = event(CallEventKind::Answered);
@@ -145,7 +147,7 @@
   }
 }
 
-// Guards against a retry budget that is spent faster than calls earn it.
+// Guards against more retries than a tenth of the answered calls allows.
 TEST_CASE("retries stay under a tenth of the answered calls", "[call]") {
   RetryTokens tokens(T0);
   int taken = 0;
