--- a/include/chivefold/core/claim_coordinator.h
+++ b/include/chivefold/core/claim_coordinator.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Connects the claims of this daemon with the replayed log.
+ * Matches the idempotency key claims of this daemon with the replayed log.
  */
 #ifndef CHIVEFOLD_CORE_CLAIM_COORDINATOR_H
 #define CHIVEFOLD_CORE_CLAIM_COORDINATOR_H
@@ -16,24 +16,27 @@
 namespace chivefold {
 
 /**
- * Decides who holds a key, which claims to append and when a claim counts.
- * The caller runs, forwards and answers as the effects say. Not thread-safe.
+ * Looks up which daemon holds a key, selects the claims to append to the log
+ * and starts requests once their claim appears in the replayed log. The user of
+ * this class runs, forwards or answers each request as the returned ClaimEffect
+ * says. Not thread-safe.
  */
 class ClaimCoordinator {
 public:
-  /** Keys whose claim is not seen in the log yet. On overflow they are
-   * forgotten, and their callers get "outcome unknown" at their deadline. */
+  /** Bound of the keys whose claim is not in the replayed log yet. On overflow
+   * all of them are dropped, and their callers get "outcome unknown" at their
+   * deadline. */
   static constexpr std::size_t MaxUnconfirmedKeys = 50000;
 
-  /** @param state replayed log; outlives this object. @param self this run of
-   * the daemon. */
+  /** @param state state replayed from the log; must outlive this object. @param
+   * self identity of this run of the daemon. */
   ClaimCoordinator(const ControlState &state, DaemonId self,
                    const ClaimLimits &limits = {});
 
   /**
-   * A request with a key arrived.
-   * @param forwardedToHolder forwarded by a daemon that takes this one for the
-   * holder.
+   * Handles a request with an idempotency key.
+   * @param forwardedToHolder whether another daemon forwarded the request
+   * because it considers this daemon the holder of the key.
    * @return what to do; see ClaimTable::request().
    */
   ClaimEffect request(const KeyHash &key, std::uint64_t bodyDigest,
@@ -43,23 +46,26 @@
    * ClaimTable::nextAppend(). */
   std::vector<KeyHash> nextAppend();
 
-  /** The append in flight was accepted. Read the log up to it, then call
-   * recordsApplied(). */
+  /** Reports that the log accepted the append in flight. The caller then reads
+   * the log up to that record and calls recordsApplied(). */
   void appendAccepted();
 
-  /** The append of @p keys failed. @param mayHaveTakenEffect unless the record
-   * is certainly not and will not be in the log. */
+  /** Reports that the append of @p keys failed. @param mayHaveTakenEffect false
+   * only if the record is not in the log and cannot appear in it later. */
   std::vector<ClaimEffect> appendFailed(const std::vector<KeyHash> &keys,
                                         bool mayHaveTakenEffect);
 
-  /** Call after records were applied to the state. */
+  /** Must be called after records were applied to the state. @return the
+   * effects of the claims that they contain. */
   std::vector<ClaimEffect> recordsApplied();
 
-  /** @return where to forward a request with @p key, or none if an earlier run
-   * of this daemon held it: its result is lost, the outcome unknown. */
+  /** @return the daemon to which to forward a request with @p key. None if no
+   * daemon holds the key, or if the holder is a run of this daemon: the result
+   * of an earlier run is lost and the outcome is unknown. */
   std::optional<Address> forwardTo(const KeyHash &key) const;
 
-  /** @return the table, for the progress of runs. Valid as long as this. */
+  /** @return the claim table, to which the progress of running requests is
+   * reported. Valid as long as this object. */
   ClaimTable &table() { return Table; }
 
 private:
--- a/src/core/claim_coordinator.cpp
+++ b/src/core/claim_coordinator.cpp
@@ -21,8 +21,8 @@
                                       bool forwardedToHolder, WaiterId waiter) {
   const auto holder = holderOf(key);
   if (forwardedToHolder && holder == ClaimHolder::Other) {
-    // The sender took this daemon for the holder, which it is not: an earlier
-    // run of this daemon was, and its results are lost.
+    // The sender considers this daemon the holder, but the holder is an earlier
+    // run of it, whose results are lost.
     return {waiter, ClaimAction::Unknown, nullptr};
   }
   return Table.request(key, bodyDigest, holder, waiter);
@@ -31,7 +31,7 @@
 std::vector<KeyHash> ClaimCoordinator::nextAppend() {
   auto keys = Table.nextAppend();
   if (UnconfirmedKeys.size() + keys.size() > MaxUnconfirmedKeys) {
-    // Only a long outage of the log gets here.
+    // Only a long log outage causes this.
     UnconfirmedKeys.clear();
   }
   UnconfirmedKeys.insert(keys.begin(), keys.end());
--- a/tests/unit/claim_coordinator_test.cpp
+++ b/tests/unit/claim_coordinator_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t Body = 7;
 constexpr WaiterId First{1};
 
-/** A log that holds a claim of @p holder. */
+/** @return the state replayed from a log that contains a claim of @p holder. */
 ControlState claimedBy(const DaemonId &holder) {
   LogBuilder log;
   ControlState state;
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// Guards against a restarted daemon that takes the claim of its earlier run for
-// its own, or forwards the request to itself for ever.
+// Guards against a restarted daemon that treats the claim of its earlier run as
+// its own, or forwards the request to itself in an endless loop.
 TEST_CASE("a claim of an earlier run reads outcome unknown", "[claim]") {
   const auto state = claimedBy(daemonId(9000, 1));
   ClaimCoordinator claims(state, daemonId(9000, 2));
@@ -33,8 +33,8 @@
   CHECK(other.forwardTo(Key) == daemonId(9000).Peer);
 }
 
-// Guards against a run before the claim is in the replayed log, and against
-// callers that are not told of a claim whose append was lost.
+// Guards against running a request before its claim is in the replayed log, and
+// against callers that get no answer when the response to the append is lost.
 TEST_CASE("a claim counts when the replay shows it", "[claim]") {
   LogBuilder log;
   ControlState state;
