--- a/include/chivefold/core/claim_table.h
+++ b/include/chivefold/core/claim_table.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * At-most-once state of the claims that this daemon holds.
+ * At-most-once state of the idempotency keys that this daemon holds or claims.
  */
 #ifndef CHIVEFOLD_CORE_CLAIM_TABLE_H
 #define CHIVEFOLD_CORE_CLAIM_TABLE_H
@@ -28,46 +28,50 @@
   std::string Value;
 };
 
-/** A complete response, as it is repeated to later callers. */
+/** A complete response that is stored to answer repeated requests. */
 struct StoredResponse {
   std::uint16_t Status = 0;
   std::vector<ResponseHeader> Headers;
   std::string Body;
-  /** @return bytes counted against the limits. */
+  /** @return size of headers and body, which counts against the limits. */
   std::size_t bytes() const;
 };
 
 struct ClaimLimits {
-  /** Entries of any state; the oldest that is neither pending nor running is
-   * evicted and then reads "outcome unknown". */
+  /** Maximum number of entries. On overflow the oldest entry that is not
+   * running and has no waiting caller is evicted; requests with its key then
+   * get "outcome unknown". */
   std::size_t MaxEntries = 50000;
-  /** Stored responses; the oldest is evicted and reads "outcome unknown". */
+  /** Maximum number of stored responses. On overflow the oldest is evicted;
+   * requests with its key then get "outcome unknown". */
   std::size_t MaxResponses = 20000;
   std::size_t MaxResponseBytes = 64U << 10U;
   std::size_t MaxTotalBytes = 32U << 20U;
-  /** Callers that wait for one key; further ones get "outcome unknown". */
+  /** Maximum number of callers that wait for one key; further ones get "outcome
+   * unknown". */
   std::size_t MaxWaiters = 64;
   std::size_t MaxKeysPerRecord = 1000;
 };
 
-/** Who holds the claim of a key according to the replayed log. */
+/** Which daemon holds the claim of a key according to the replayed log. */
 enum class ClaimHolder : std::uint8_t { None, Self, Other };
 
 /** What to do for one caller. */
 enum class ClaimAction : std::uint8_t {
-  /** Wait; a later ClaimEffect names this waiter. */
+  /** Wait; a later ClaimEffect has the action for this waiter. */
   Wait,
-  /** Run the request; report with attemptStarted() and so on. */
+  /** Run the request; report its progress with attemptStarted(),
+     attemptNotRun(), answered() and endedWithoutResponse(). */
   Run,
   /** Answer with Response. */
   Answer,
   /** Forward to the holder of the claim. */
   Forward,
-  /** Answer "not run". */
+  /** Answer that the request was not run. */
   NotRun,
-  /** Answer "outcome unknown". */
+  /** Answer that the outcome is unknown. */
   Unknown,
-  /** Answer 422: the key was used with another body. */
+  /** Answer 422: the key was used before with another body. */
   Conflict
 };
 /** @return "wait", "run", ... Thread-safe. */
@@ -81,66 +85,72 @@
 };
 
 /**
- * Holds the state of each claim: pending in the log, unused, running, answered
- * or unknown. A key is run once: after an attempt that may have reached a
- * server no other one is allowed. Not thread-safe.
+ * Holds the state of each key: claim pending, claimed, running, answered or
+ * unknown. A key is run at most once: after an attempt that may have reached a
+ * server, no other attempt is allowed. Not thread-safe.
  */
 class ClaimTable {
 public:
   explicit ClaimTable(const ClaimLimits &limits = {});
 
   /**
-   * A request with a key arrived, from a caller or forwarded.
-   * @param holder of the claim according to the log as replayed so far.
-   * @param bodyDigest hash of the body; another one for the key is a conflict.
+   * Handles a request with a key, from a caller or forwarded by another daemon.
+   * @param bodyDigest hash of the body; a different body for a key that ran is
+   * a conflict.
+   * @param holder holder of the claim according to the log as replayed so far.
    * @return what to do. Wait with holder None means that the key must be
-   * claimed: see nextAppend().
+   * claimed; see nextAppend().
    */
   ClaimEffect request(const KeyHash &key, std::uint64_t bodyDigest,
                       ClaimHolder holder, WaiterId waiter);
 
   /**
    * @return keys for one claim record to append now, at most MaxKeysPerRecord;
-   * empty while an append is in flight or when there are none. After it one of
-   * appended(), appendFailed() must follow.
+   * empty while an append is in flight or when no key needs a claim. A call
+   * that returns keys must be followed by appendAccepted() or appendFailed().
    */
   std::vector<KeyHash> nextAppend();
 
-  /** The append in flight was accepted; its keys stay pending until
-   * claimReplayed(). */
+  /** Reports that the log accepted the append in flight. Its keys stay pending
+   * until claimReplayed(). */
   void appendAccepted();
 
   /**
-   * The append in flight failed, or it is not known whether it took effect.
-   * Its callers get "outcome unknown", since the key may be claimed elsewhere.
-   * @param certain that the record is not and will not be in the log.
+   * Reports that the append in flight failed, or that it is not known whether
+   * it took effect. The waiting callers get "outcome unknown", since another
+   * daemon may have claimed the key.
+   * @param certainlyNotInLog whether the record is not in the log and cannot
+   * appear in it later.
    */
   std::vector<ClaimEffect> appendFailed(bool certainlyNotInLog);
 
   /**
-   * The first claim of @p key was seen in the replayed log.
-   * @param holder Self or Other. A claim of a key that is not in the table is
-   * ignored; such a key reads "outcome unknown" if Self holds it.
+   * Reports that the replayed log contains the first claim of @p key. A claim
+   * of a key that is not in the table is ignored; later requests with it get
+   * "outcome unknown" if Self holds it.
+   * @param holder Self or Other.
    */
   std::vector<ClaimEffect> claimReplayed(const KeyHash &key,
                                          ClaimHolder holder);
 
-  /** An attempt is about to be sent. @return false if it must not be: the key
-   * is not running, or an earlier attempt may have reached a server. */
+  /** Reports that an attempt is about to be sent. @return false if it must not
+   * be sent, because the key is not running or an earlier attempt may have
+   * reached a server. */
   [[nodiscard]] bool attemptStarted(const KeyHash &key);
 
-  /** The attempt was certainly not run; another one may follow. */
+  /** Reports that the attempt was certainly not run; another one is allowed. */
   void attemptNotRun(const KeyHash &key);
 
-  /** The run is over. @return an effect for each caller. NotRun after an
-   * attempt that may have run counts as Unknown; a response that is too large
-   * to store is given to the present callers only. */
+  /** Reports the end of a run, with or without a response. NotRun after an
+   * attempt that may have run counts as Unknown. A response that is too large
+   * to store is returned to the callers that wait now, but not to later ones.
+   * @return an effect for each waiting caller. */
   std::vector<ClaimEffect> answered(const KeyHash &key,
                                     StoredResponse response);
   std::vector<ClaimEffect> endedWithoutResponse(const KeyHash &key,
                                                 Outcome outcome);
 
-  /** The caller is gone; a run goes on without it. */
+  /** Removes a caller that disconnected; a run in progress continues. */
   void removeWaiter(const KeyHash &key, WaiterId waiter);
 
   std::size_t size() const;
@@ -148,11 +158,12 @@
 
 private:
   enum class Phase : std::uint8_t {
-    /** Wants a claim, no append yet. */
+    /** Waits in AppendQueue for its claim to be appended. */
     Pending,
-    /** In the record being appended, or appended and not seen yet. */
+    /** Claim in the append in flight, or appended and not replayed yet. */
     Appending,
-    /** The append failed or its result is lost; may yet be seen. */
+    /** The result of the append is unknown; the claim may still appear in the
+       log. */
     AppendUncertain,
     Claimed,
     Running,
@@ -188,15 +199,15 @@
 
   ClaimLimits Limits;
   std::unordered_map<KeyHash, Entry> Entries;
-  /** All keys, oldest first. */
+  /** All keys in order of insertion. */
   std::list<KeyHash> InsertionOrder;
-  /** Keys with a stored response, oldest first; at most one per response
-   * stored, but may name evicted ones until they reach the front. */
+  /** Keys in the order in which their responses were stored. May contain keys
+   * of evicted entries until they reach the front. */
   std::deque<KeyHash> ResponseOrder;
   std::size_t ResponseCount = 0;
   std::size_t ResponseBytes = 0;
-  /** Keys that want a claim; at most twice MaxEntries, beyond it new keys get
-   * "outcome unknown". */
+  /** Keys whose claim is to be appended. Bounded by twice MaxEntries, beyond
+   * which new keys get "outcome unknown". */
   std::deque<KeyHash> AppendQueue;
   std::vector<KeyHash> KeysInAppend;
 };
--- a/src/core/claim_table.cpp
+++ b/src/core/claim_table.cpp
@@ -43,7 +43,8 @@
   if (holder == ClaimHolder::Other) {
     return {waiter, ClaimAction::Forward, nullptr};
   }
-  // A claim of this daemon without an entry was evicted and may have run.
+  // The entry of a claim that this daemon holds was evicted; the request may
+  // have run.
   if (holder == ClaimHolder::Self || !ensureCapacity()) {
     return {waiter, ClaimAction::Unknown, nullptr};
   }
@@ -163,7 +164,7 @@
       continue;
     }
     if (it->second.Waiters.empty()) {
-      erase(key); // Its callers are gone before anything was claimed.
+      erase(key); // All callers disconnected before the key was claimed.
       continue;
     }
     it->second.State = Phase::Appending;
@@ -179,12 +180,13 @@
   for (const auto &key : KeysInAppend) {
     const auto it = Entries.find(key);
     if (it == Entries.end() || it->second.State != Phase::Appending) {
-      continue; // Seen in the log before the failure was reported.
+      continue; // The claim was replayed before the failure was reported.
     }
     const auto released = resolveWaiters(it->second, ClaimAction::Unknown);
     effects.insert(effects.end(), released.begin(), released.end());
-    // A key whose earlier append was lost may still be claimed by it; erasing
-    // it then reads "outcome unknown", which is safe.
+    // If the result of an earlier append of the key is unknown, that append may
+    // still claim it. Requests with the erased key then get "outcome unknown",
+    // which is safe.
     if (certainlyNotInLog) {
       erase(key);
     } else {
--- a/tests/unit/claim_table_test.cpp
+++ b/tests/unit/claim_table_test.cpp
@@ -19,7 +19,7 @@
   return table.request(key, body, holder, waiter(caller)).Action;
 }
 
-/** Brings @p key to its first run by caller 1. */
+/** Claims @p key and starts its run for caller 1. */
 void claimAndRun(ClaimTable &table, const KeyHash &key) {
   REQUIRE(requestAction(table, key, ClaimHolder::None, 1) == ClaimAction::Wait);
   REQUIRE(table.nextAppend().size() == 1);
@@ -31,9 +31,9 @@
 
 } // namespace
 
-// Guards against running a key twice, and against saying "not run" after an
-// attempt that may have run, for any order of requests, appends, lost
-// responses, claims seen, attempts and evictions.
+// Guards against running a key twice and against answering "not run" after an
+// attempt that may have run, in any order of requests, appends, lost responses,
+// replayed claims, attempts and evictions.
 TEST_CASE("no interleaving runs a key twice", "[claim]") {
   std::size_t runs = 0;
   CHECK(rc::check([&runs] {
@@ -43,7 +43,7 @@
     limits.MaxKeysPerRecord = 2;
     limits.MaxWaiters = 2;
     ClaimTable table(limits);
-    // The log as the daemon has replayed it, and what is on its way to it.
+    // Claims that the daemon has replayed, and keys appended but not replayed.
     std::map<std::uint64_t, ClaimHolder> log;
     std::vector<KeyHash> unreplayedKeys;
     std::set<std::uint64_t> mayHaveRun;
@@ -132,10 +132,11 @@
       RC_ASSERT(table.size() <= limits.MaxEntries);
     }
   }));
-  CHECK(runs > 200); // Fewer would show little.
+  CHECK(runs > 200); // With fewer runs the property is hardly tested.
 }
 
-// Guards against a repeat that is run again, or answered with another result.
+// Guards against a repeated request that is run again or gets a different
+// response.
 TEST_CASE("repeats join the run and get its stored response", "[claim]") {
   ClaimTable table;
   const KeyHash key{1, 1};
@@ -153,8 +154,8 @@
         ClaimAction::Conflict);
 }
 
-// Guards against a claim that stays blocked after a rejection that was
-// certainly not run, and against one that is run after an uncertain end.
+// Guards against a key that stays blocked although its request was certainly
+// not run, and against a second run after an attempt whose outcome is unknown.
 TEST_CASE("only a certain rejection frees a claim", "[claim]") {
   ClaimTable table;
   const KeyHash key{1, 1};
@@ -171,7 +172,8 @@
         ClaimAction::Unknown);
 }
 
-// Guards against one append per claim, which would exceed the log's budget.
+// Guards against one append per claim, which would exceed the append budget of
+// the log.
 TEST_CASE("claims share an append and one append is in flight", "[claim]") {
   ClaimTable table;
   requestAction(table, {1, 0}, ClaimHolder::None, 1);
@@ -188,8 +190,8 @@
   CHECK(table.nextAppend().size() == 500);
 }
 
-// Guards against forgetting a claim whose append response was lost, and
-// against running a key that another daemon holds.
+// Guards against dropping a claim because the response to its append was lost,
+// and against running a key that another daemon holds.
 TEST_CASE("a lost append may still give the claim", "[claim]") {
   ClaimTable table;
   const KeyHash key{1, 1};
@@ -205,7 +207,8 @@
         ClaimAction::Forward);
 }
 
-// Guards against running an evicted key again and against unbounded memory.
+// Guards against running a key again after its response was evicted, and
+// against unbounded memory use.
 TEST_CASE("an evicted response reads outcome unknown", "[claim]") {
   ClaimLimits limits;
   limits.MaxTotalBytes = 100;
