--- a/include/chivefold/core/claim_history.h
+++ b/include/chivefold/core/claim_history.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The claims of idempotency keys that count, in log order.
+ * The effective claims of idempotency keys, in log order.
  */
 #ifndef CHIVEFOLD_CORE_CLAIM_HISTORY_H
 #define CHIVEFOLD_CORE_CLAIM_HISTORY_H
@@ -17,16 +17,16 @@
 
 namespace chivefold {
 
-/** The claim that counts for a key. */
+/** The effective claim of a key: the first one in the log. */
 struct Claim {
   LogOffset Offset = LogOffset::None;
   DaemonId Holder;
 };
 
 /**
- * Keeps the newest claims. The oldest is dropped on overflow; a repeat of its
- * key would be claimed anew, so the bound limits how long a key stays unique.
- * Not thread-safe.
+ * Keeps the newest claims. On overflow the oldest one is evicted, after which
+ * its key can be claimed again; the bound therefore limits how long a key is
+ * known as claimed. Not thread-safe.
  */
 class ClaimHistory {
 public:
@@ -35,18 +35,20 @@
   struct Entry {
     KeyHash Key;
     LogOffset Offset = LogOffset::None;
+    /** Index into Holders. */
     std::uint32_t Holder = 0;
   };
 
   std::optional<Claim> find(const KeyHash &key) const;
 
-  /** Claims @p key unless it is claimed. @return whether this claim counts. */
+  /** Adds a claim of @p key unless the key is already claimed. @return whether
+   * the claim was added. */
   bool add(const KeyHash &key, LogOffset offset, const DaemonId &holder);
 
   /** @return the entries, oldest first. */
   const std::deque<Entry> &entries() const { return Entries; }
 
-  /** @return the holder of an entry. */
+  /** @return the daemon that holds the claim of @p entry. */
   const DaemonId &holder(const Entry &entry) const {
     return Holders[entry.Holder].Id;
   }
@@ -55,7 +57,8 @@
   std::uint64_t digest() const { return Digest; }
 
 private:
-  /** Holders are stored once, since a daemon has many claims. */
+  /** A daemon that holds claims. Stored once and counted by References, since a
+   * daemon holds many claims. */
   struct HolderSlot {
     DaemonId Id;
     std::uint32_t References = 0;
