--- a/include/chivefold/core/dissemination.h
+++ b/include/chivefold/core/dissemination.h
@@ -26,18 +26,18 @@
 struct DisseminationLimits {
   static constexpr std::size_t MaxRecentRecords = 4096;
   static constexpr std::size_t MaxRecentBytes = 4U << 20U;
-  /** Records held beyond a gap; the highest offsets are dropped on overflow and
-   * fetched again later. */
+  /** Maximum number of records buffered beyond a gap. On overflow the highest
+   * offsets are dropped and fetched again later. */
   static constexpr std::size_t MaxOutOfOrderRecords = 256;
   static constexpr std::size_t Fanout = 4;
-  /** Bytes of records in one message; a receiver fetches the rest. At least
-   * one record is always included. */
+  /** Maximum size of the records in one message; the receiver fetches the rest.
+   * A message always has at least one record. */
   static constexpr std::size_t MaxMessageBytes = 256U << 10U;
-  /** After this time an unanswered fetch is repeated with another peer. */
+  /** An unanswered fetch is repeated with another peer after this time. */
   static constexpr Duration FetchTimeout = std::chrono::milliseconds(500);
 };
 
-/** Records for one peer. */
+/** Records to send to one peer. */
 struct Push {
   Address Peer;
   std::vector<LogEntry> Records;
@@ -49,7 +49,7 @@
   LogOffset After = LogOffset::None;
 };
 
-/** What the caller does after records were accepted. */
+/** Result of accepting records, with the messages to send. */
 struct AcceptResult {
   /** Records applied by this call. */
   std::size_t Applied = 0;
@@ -57,72 +57,77 @@
   std::optional<Fetch> Next;
 };
 
-/** Answer to a fetch. */
+/** Response to a fetch. */
 struct FetchResponse {
   std::vector<LogEntry> Records;
-  /** The records are no longer held; the peer must ask for a snapshot. */
+  /** The requested records are no longer kept; the peer must request a
+   * snapshot. */
   bool SnapshotNeeded = false;
 };
 
 /**
- * Replays records from the log and from peers into a control state and decides
- * what goes to whom. Records may come in any order, doubled or late. A pushed
- * record is forwarded once, when it is first applied. Not thread-safe.
+ * Applies records from the log and from peers to a control state and selects
+ * the records to send to each peer. Records may arrive out of order, late or
+ * more than once. A pushed record is forwarded once, when it is first applied.
+ * Not thread-safe.
  */
 class Dissemination {
 public:
-  /** @param state replayed into. @param members chooses the peers and learns
-   * the applied offset. Both outlive this object. */
+  /** @param state state to which records are applied. @param members table from
+   * which peers are chosen and in which the applied offset is recorded. Both
+   * must outlive this object. */
   Dissemination(ControlState &state, MemberTable &members);
 
   /**
    * Accepts records.
    * @param from the peer that sent them, none for the log.
-   * @return pushes of the records that were new, and a fetch if there is a gap.
-   * Answers to a fetch are not pushed on, and neither are records that a
-   * starting daemon reads: others have them, and a daemon that catches up would
-   * send its whole backlog.
+   * @return pushes of the new records, and a fetch if there is a gap. Records
+   * that answer a fetch and records that a starting daemon reads are not
+   * pushed: other daemons have them, and a daemon that catches up would send
+   * its whole backlog.
    */
   AcceptResult accept(const std::vector<LogEntry> &records,
                       const std::optional<Address> &from, TimePoint now);
 
-  /** A peer's probe or answer said that it has applied @p applied.
-   * @return the fetch to send, at most one at a time. */
+  /** Reports the offset up to which a peer has applied the log, as stated in
+   * its probe or answer.
+   * @return the fetch to send, if the peer is ahead and no other fetch is
+   * outstanding. */
   std::optional<Fetch> peerApplied(const Address &peer, LogOffset applied,
                                    TimePoint now);
 
-  /** Repeats a fetch that timed out. Call several times a second.
-   * @return the fetch to send to another peer, if one is due. */
+  /** Repeats a fetch that timed out. Must be called several times a second.
+   * @return the fetch to send to a random peer, if one is due. */
   std::optional<Fetch> tick(TimePoint now);
 
-  /** @return records after @p after, at most MaxMessageBytes of them. */
+  /** @return the records after @p after, up to MaxMessageBytes. */
   FetchResponse recordsAfter(LogOffset after) const;
 
   /**
-   * Replaces the state by a snapshot that is newer, then applies held records.
-   * @return Conflict if the snapshot is not newer than the state, since a
-   * version never goes backwards; InvalidRecord if it is damaged.
+   * Replaces the state by a newer snapshot, then applies buffered records.
+   * @return Conflict if the snapshot is not newer than the state, since the
+   * version must not decrease; InvalidRecord if the snapshot is damaged.
    */
   Status installSnapshot(std::string_view bytes);
 
-  /** Like installSnapshot() with a decoded state, e.g. from the log. */
+  /** Like installSnapshot(), with a decoded state, for example from the log. */
   Status installState(ControlState state);
 
-  /** Sets what is called with each record after it was applied, in log order.
+  /** Sets the function that is called with each applied record, in log order.
    */
   void onApplied(std::function<void(const LogEntry &)> observer) {
     Observer = std::move(observer);
   }
 
-  /** @return the highest offset that is known to exist. */
+  /** @return the highest log offset known to this daemon. */
   LogOffset knownTail() const { return KnownTail; }
 
-  /** @return the number of records held beyond a gap. */
+  /** @return the number of records buffered beyond a gap. */
   std::size_t outOfOrderCount() const { return OutOfOrder.size(); }
 
   Recovery &recovery() { return StartupRecovery; }
 
-  /** @return whether this daemon may serve, and why not. */
+  /** @return whether this daemon may serve, and the reason if it may not. */
   Readiness readiness();
 
 private:
--- a/src/core/dissemination.cpp
+++ b/src/core/dissemination.cpp
@@ -26,8 +26,9 @@
   if (!answer && StartupRecovery.ready()) {
     result.Pushes = makePushes(applied, from);
   }
-  // An answer without progress leaves the deadline to tick(), which asks
-  // another peer; asking the same one again would loop.
+  // If the answer had no new records, the fetch stays outstanding until its
+  // deadline, when tick() asks another peer. Asking the same peer again would
+  // loop.
   if (answer && !applied.empty()) {
     FetchPeer.reset();
   }
@@ -140,7 +141,7 @@
     response.SnapshotNeeded = true;
     return response;
   }
-  // Offsets in the ring have no gaps.
+  // The offsets in RecentRecords are contiguous.
   const auto first = raw(after) + 1 - raw(RecentRecords.front().Offset);
   std::size_t bytes = 0;
   for (auto n = first; n < RecentRecords.size(); ++n) {
@@ -177,8 +178,8 @@
 }
 
 Readiness Dissemination::readiness() {
-  // Asked several times a second; the view costs time in proportion to the
-  // fleet, and a daemon that is ready stays so.
+  // Called several times a second. Counting members takes time proportional to
+  // the fleet size, and a daemon that is ready stays ready.
   if (StartupRecovery.ready()) {
     return {true, {}};
   }
--- a/tests/unit/dissemination_test.cpp
+++ b/tests/unit/dissemination_test.cpp
@@ -21,7 +21,7 @@
   return m;
 }
 
-/** A ready daemon with peers at ports 2 to 21. */
+/** A daemon, ready by default, with peers at ports 2 to 21. */
 struct Daemon {
   explicit Daemon(bool ready = true) {
     for (std::uint16_t n = 2; n < 22; ++n) {
@@ -49,8 +49,8 @@
 
 } // namespace
 
-// Guards against versions that go backwards and records that are lost when
-// messages cross, come late or twice.
+// Guards against a version that decreases and against lost records when
+// messages arrive out of order, late or twice.
 TEST_CASE("crossed, late and doubled records", "[dissemination]") {
   const auto log = makeLog(6);
   Daemon d;
@@ -76,8 +76,8 @@
   CHECK(d.Members.self().Floor == d.State.applied());
 }
 
-// Guards against changes that stay within a data centre, go back to their
-// sender, or flood the fleet when a daemon catches up.
+// Guards against records that do not leave their data centre, that are sent
+// back to their sender, or that a daemon pushes while it catches up.
 TEST_CASE("new records are pushed to a few peers", "[dissemination]") {
   const auto log = makeLog(4);
   Daemon d;
@@ -96,8 +96,8 @@
   CHECK(starting.Core.accept(log.Entries, std::nullopt, Start).Pushes.empty());
 }
 
-// Guards against a fetch that is never repeated, and one that loops with a peer
-// that does not have the records.
+// Guards against a fetch that is not repeated, and against repeating it
+// endlessly with a peer that does not have the records.
 TEST_CASE("a fetch is repeated with other peers", "[dissemination]") {
   const auto log = makeLog(4);
   Daemon d;
@@ -110,8 +110,8 @@
   CHECK_FALSE(d.Core.tick(Start + 2 * Limits::FetchTimeout));
 }
 
-// Guards against unbounded memory for records beyond a gap and for the ring,
-// and against a peer that is served records with a hole.
+// Guards against unbounded memory for out-of-order and recent records, and
+// against answering a fetch with records that have a gap.
 TEST_CASE("held records and the ring are bounded", "[dissemination]") {
   const auto log = makeLog(Limits::MaxRecentRecords + 10);
   Daemon d;
@@ -129,7 +129,7 @@
   CHECK(d.Core.recordsAfter(d.State.applied()).Records.empty());
 }
 
-// Guards against a snapshot that takes a daemon backwards or is damaged.
+// Guards against installing a snapshot that is older than the state or damaged.
 TEST_CASE("only a newer snapshot is installed", "[dissemination]") {
   const auto log = makeLog(8);
   Daemon ahead;
@@ -146,7 +146,8 @@
   CHECK(raw(d.State.applied()) == 6);
 }
 
-// Guards against a daemon that serves before it has read what was in effect.
+// Guards against a daemon that serves before it has replayed the log to its
+// tail.
 TEST_CASE("a starting daemon reads the log to its tail", "[recovery]") {
   Recovery r;
   CHECK_FALSE(r.update({LogOffset{5}, 10, 2}).Ready);
@@ -160,8 +161,8 @@
   CHECK(r.update({LogOffset{7}, 10, 2}).Ready);
 }
 
-// Guards against a restarted daemon that serves an older state than the one it
-// served before, when the log is down.
+// Guards against a daemon that restarts during a log outage and serves an older
+// state than before the restart.
 TEST_CASE("a starting daemon trusts enough peers only", "[recovery]") {
   Recovery r;
   const auto answer = [&](std::uint16_t port, std::uint64_t applied,
@@ -180,7 +181,7 @@
     CHECK_FALSE(ready(40));
   }
   r.logUnavailable();
-  CHECK_FALSE(ready(40)); // one data centre only
+  CHECK_FALSE(ready(40)); // answers from one data centre only
   answer(11, 30, 50);
   CHECK_FALSE(ready(40)); // below the floor
   answer(1, 50);
@@ -189,7 +190,7 @@
   CHECK(ready(50));
 }
 
-// Guards against trusting a few stale peers of a large fleet.
+// Guards against relying on a few peers of a large fleet, which may be stale.
 TEST_CASE("five peers are needed while the log is down", "[recovery]") {
   Recovery r;
   r.logUnavailable();
@@ -204,8 +205,8 @@
   CHECK(r.update({LogOffset{9}, 100, 2}).Ready);
 }
 
-// Guards against a fleet that stays down because daemons that hold no state
-// wait for each other.
+// Guards against a deadlock in which starting daemons without state wait for
+// each other.
 TEST_CASE("peers that are starting are not waited for", "[recovery]") {
   Recovery r;
   r.logUnavailable();
