--- a/include/chivefold/core/gate.h
+++ b/include/chivefold/core/gate.h
@@ -22,13 +22,13 @@
 /** Identifies a request at one gate; chosen by the caller, unique in flight. */
 enum class GateRequestId : std::uint64_t { None = 0 };
 
-/** State of a gate; travels in each of its answers. */
+/** State of a gate; part of each of its answers. */
 struct GateState {
-  /** Requests that the server may run at once; 0 means "not known". */
+  /** Maximum number of requests in flight at the server; 0 if not known. */
   std::uint32_t Limit = 0;
   std::uint32_t InFlight = 0;
   std::uint32_t Queued = 0;
-  /** The limit is still below the configured slots. */
+  /** The limit is below the configured number of slots. */
   bool Cold = false;
   bool Leaving = false;
 };
@@ -40,7 +40,7 @@
   bool IsRepeatable = false;
 };
 
-/** How a request that ran ended, as the gate sees it. */
+/** Result of a request that was sent to the server. */
 enum class ServerResult : std::uint8_t {
   Ok,
   ServerError,
@@ -53,79 +53,89 @@
 
 enum class AdmissionKind : std::uint8_t { Run, Queued, Rejected };
 
-/** Decision on a newcomer. */
+/** Decision on a new request. */
 struct Admission {
   AdmissionKind Kind = AdmissionKind::Run;
   /** Set if rejected: Overloaded, NotReady, ConnectionFailed or
    * DeadlineExceeded. The request was certainly not run. */
   ErrorCode Code = ErrorCode::Ok;
-  /** When the caller may try this server again; for Rejected and for Shed. */
+  /** For a rejected or shed request: time after which its caller may try this
+   * server again. */
   Duration RetryAfter{};
-  /** A queued request of lower worth that the newcomer displaced; it was
-   * certainly not run. */
+  /** Queued request of lower worth that was removed in favour of the new one.
+   * It was not run. */
   std::optional<GateRequestId> Shed;
 };
 
-/** Constants of the concurrency control of a gate. */
+/** Parameters of the adaptive concurrency limit of a gate. */
 struct GateTuning {
-  /** Latency up to this multiple of the baseline lets the limit grow. With 1.3
-   * and windows of 8 a simulated cold server got up to 1.13 times the load that
-   * it bears; with 1.2 and 16 at most 0.85 times. */
+  /** The limit grows if the mean latency is at most this multiple of the
+   * baseline. In simulations a cold server got up to 1.13 times its tolerable
+   * load with a factor of 1.3 and windows of 8 calls, and at most 0.85 times
+   * with 1.2 and 16. */
   double GrowFactor = 1.2;
-  /** A window whose mean exceeds this multiple halves the limit. */
+  /** The limit is halved if the mean latency of a window exceeds this multiple
+   * of the baseline. */
   double HalveFactor = 2.0;
-  /** Smoothed latency beyond this multiple means a sudden cold turn. */
+  /** If the smoothed latency exceeds this multiple of the baseline, the server
+   * is considered cold and the limit falls to the cold limit. */
   double ColdFactor = 4.0;
-  /** A window has at least this many calls, and at least `limit` of them. */
+  /** Minimum number of calls in a window, which also has at least as many calls
+   * as the limit. */
   std::uint32_t MinWindow = 16;
-  /** Share of failures in a window that halves the limit. */
+  /** The limit is halved if this share of the calls in a window fails. */
   double HalveFailures = 0.5;
-  /** Pause after a failed connection, doubling up to MaxBackOff. */
+  /** Time without new requests after a failed connection; doubles up to
+   * MaxBackOff. */
   Duration InitialBackOff = std::chrono::milliseconds(50);
   Duration MaxBackOff = std::chrono::milliseconds(1000);
 };
 
 /**
- * Enforces the slots, the bounded queue and the cold-start limit of one
- * backend server. Its decisions use only what finished calls show. Queued
- * requests run by worth, oldest first among equals. Not thread-safe.
+ * Admission control for one backend server: an adaptive concurrency limit that
+ * starts at the cold limit and grows up to the slots, and a bounded priority
+ * queue. The limit depends only on the results of finished calls. Queued
+ * requests run in order of worth, the oldest first among equals. Not
+ * thread-safe.
  */
 class Gate {
 public:
   explicit Gate(const ServerLimits &limits, const GateTuning &tuning = {});
 
-  /** Puts new limits in force; running requests go on, queued ones beyond a
-   * smaller queue are returned (lowest worth first) and were not run. */
+  /** Sets new limits. Running requests continue. @return queued requests that
+   * exceed the new queue size, lowest worth first; they were not run. */
   std::vector<GateRequestId> setLimits(const ServerLimits &limits);
 
-  /** Decides on a newcomer. A full queue sheds the lowest worth, the newest
-   * among equals, which may be the newcomer. Precondition: the id is neither
-   * queued nor running. */
+  /** Decides whether to run, queue or reject a new request. If the queue is
+   * full, the request of the lowest worth is shed, the newest among equals,
+   * which may be the new one. Precondition: the id is neither queued nor
+   * running. */
   Admission admit(const GateRequest &request, TimePoint now);
 
   /**
-   * Ends a running request; an unknown id is ignored.
+   * Reports the end of a running request; an unknown id is ignored.
    * @param latency time from its start to its end.
    * @return queued requests to run now.
    */
   std::vector<GateRequestId> finish(GateRequestId id, ServerResult result,
                                     Duration latency, TimePoint now);
 
-  /** @return queued requests whose deadline has passed; certainly not run. */
+  /** Removes queued requests whose deadline has passed. @return their ids; they
+   * were not run. */
   std::vector<GateRequestId> expire(TimePoint now);
 
-  /** @return the earliest deadline in the queue, if there is any. */
+  /** @return the earliest deadline in the queue, if it is not empty. */
   std::optional<TimePoint> nextDeadline() const;
 
-  /** Drops a queued request. @return whether it was queued, hence not run; a
-   * running one must be ended with finish(). */
+  /** Removes a queued request. @return whether it was queued, so that it was
+   * not run; a running request must be ended with finish(). */
   bool cancel(GateRequestId id);
 
-  /** Refuses new work from now on. @return the queued requests, which were
-   * certainly not run; running ones finish. */
+  /** Rejects new requests from now on. Running requests continue. @return the
+   * queued requests, which were not run. */
   std::vector<GateRequestId> startLeaving();
 
-  /** Takes new work again, from the cold limit. */
+  /** Admits requests again, starting with the cold limit. */
   void stopLeaving();
 
   GateState state() const;
@@ -146,7 +156,7 @@
     GateRequestId Id;
     TimePoint Deadline;
   };
-  /** Figures of the calls since the limit was last judged. */
+  /** Statistics of the calls since the limit was last evaluated. */
   struct Window {
     std::uint32_t Successes = 0;
     std::uint32_t Failures = 0;
@@ -179,11 +189,12 @@
   /** Bounded by Limits.Slots. */
   std::unordered_map<GateRequestId, std::uint64_t> Running;
   std::uint64_t NextSequence = 1;
-  /** Requests started before this sequence number ran under another limit
-   * and say nothing about the current one. */
+  /** Sequence number at the last change of the limit. Requests started before
+   * it ran under another limit and are not used to evaluate the current one. */
   std::uint64_t LimitSetAt = 0;
   Window CurrentWindow;
-  /** Low latency in microseconds per limit level; 0 means "not known". */
+  /** Baseline latency in microseconds for each value of the limit; 0 if not
+   * known. */
   std::vector<double> Baselines;
   double SmoothedLatencyUs = 0;
   std::uint32_t RecentCalls = 0;
--- a/src/core/gate.cpp
+++ b/src/core/gate.cpp
@@ -16,24 +16,26 @@
     {ServerResult::Cancelled, "cancelled"},
 }}};
 
-/** Weight of the newest call in the smoothed latency; about the last 9 calls
- * count. */
+/** Weight of the newest call in the smoothed latency, which covers about the
+ * last 9 calls. */
 constexpr double SmoothingWeight = 0.2;
-/** Calls after a change of the limit before the smoothed latency is judged. */
+/** Minimum number of calls since the last decrease of the limit before the
+ * smoothed latency is compared with the baseline. */
 constexpr std::uint32_t MinCallsAfterChange = 5;
-/** A level's baseline follows lower window means faster than higher ones, so it
- * settles at a low percentile of them. */
+/** A baseline follows lower window means faster than higher ones, so that it
+ * converges to a low percentile of them. */
 constexpr double BaselineFallWeight = 0.1;
 constexpr double BaselineRiseWeight = 0.02;
-/** At the cold limit the load cannot be the cause of a higher latency, so a
- * server that has become slower for good is accepted within about 30 windows.
+/** At the cold limit, load cannot cause a higher latency. The baseline
+ * therefore adapts within about 30 windows to a server that has become
+ * permanently slower.
  */
 constexpr double ColdBaselineRiseWeight = 0.05;
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(20);
 constexpr Duration MaxRetryAfter = std::chrono::milliseconds(1000);
 
 ServerLimits clampLimits(ServerLimits limits) {
-  // Each running request has a connection of its own.
+  // Each running request uses its own connection.
   limits.Slots = std::clamp(limits.Slots, 1U, std::max(1U, limits.Connections));
   limits.ColdSlots = std::clamp(limits.ColdSlots, 1U, limits.Slots);
   return limits;
@@ -97,8 +99,8 @@
   if (full && (Queue.empty() || key.Worth <= Queue.rbegin()->first.Worth)) {
     return reject(ErrorCode::Overloaded, Queue.size());
   }
-  // A request that would expire in the queue is refused at once, so that its
-  // caller still has time to try elsewhere.
+  // A request that would expire in the queue is rejected immediately, so that
+  // its caller has time to try another server.
   const auto ahead = static_cast<std::size_t>(
       std::distance(Queue.begin(), Queue.lower_bound(key)));
   const double wait =
@@ -142,7 +144,7 @@
   std::vector<GateRequestId> ids;
   for (auto it = Queue.begin(); it != Queue.end() && Running.size() < Limit;) {
     if (it->second.Deadline <= now) {
-      ++it; // Reported by expire().
+      ++it; // Removed and reported by expire().
       continue;
     }
     ids.push_back(it->second.Id);
@@ -154,12 +156,13 @@
 }
 
 void Gate::connectionFailed(TimePoint now) {
-  // Requests that were in flight at one crash fail together and count once.
+  // Requests in flight when the server crashes fail together and extend the
+  // back-off only once.
   if (now >= BackOffUntil) {
     BackOff = std::clamp(BackOff * 2, Tuning.InitialBackOff, Tuning.MaxBackOff);
     BackOffUntil = now + BackOff;
   }
-  // The server that comes back may be another version with another latency.
+  // The restarted server may have another version with a different latency.
   std::fill(Baselines.begin(), Baselines.end(), 0.0);
   setLimit(Limits.ColdSlots);
 }
@@ -175,11 +178,11 @@
     break;
   case ServerResult::TimedOut:
     ++CurrentWindow.Failures;
-    // The true latency is at least this.
+    // The real latency is at least the measured time.
     updateSmoothedLatency(std::max(latency, SmoothedLatencyUs));
     break;
   case ServerResult::ServerError:
-    // Says nothing about latency: errors are often fast.
+    // Not used for the latency, since errors are often fast.
     ++CurrentWindow.Failures;
     break;
   case ServerResult::ConnectionFailed:
@@ -228,7 +231,8 @@
     setLimit(std::max(Limits.ColdSlots, Limit / 2));
   } else if (isLimitReached &&
              (base == 0 || mean <= Tuning.GrowFactor * base)) {
-    // Only a limit that was reached has shown that the server can bear it.
+    // The limit grows only if it was reached, since otherwise the calls do not
+    // show that the server can handle it.
     setLimit(std::min(Limits.Slots, Limit + 1));
   }
 }
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -18,8 +18,9 @@
   return {static_cast<GateRequestId>(id), worth, T0 + timeLeft, false};
 }
 
-/** A server whose capacity grows with the work it has done. Above its capacity
- * it slows down; far above it, it breaks. */
+/** Simulates a server whose capacity grows with the calls it has finished. Its
+ * latency rises when the load exceeds the capacity; a load above
+ * maxTolerableLoad() counts as an overload. */
 struct SimulatedServer {
   double Cold = 1;
   double Slots = 10;
@@ -53,8 +54,8 @@
   bool operator<(const Event &o) const { return At > o.At; }
 };
 
-/** Offers @p perSecond requests for @p length; @p turnsCold makes the server
- * cold halfway. @return the lowest limit of the second half. */
+/** Offers @p perSecond requests for @p length. @param turnsCold whether the
+ * server becomes cold halfway. @return the lowest limit in the second half. */
 std::uint32_t simulate(Gate &gate, SimulatedServer &server, double perSecond,
                        Duration length, bool turnsCold, unsigned seed) {
   std::mt19937_64 random(seed);
@@ -96,8 +97,8 @@
 
 } // namespace
 
-// Guards against a gate that, under some sequence of events, runs or queues
-// more than its limits, or loses a request.
+// Guards against a sequence of events in which the gate exceeds its limits or
+// loses a request.
 TEST_CASE("gate keeps its limits for any sequence", "[gate]") {
   CHECK(rc::check([] {
     const ServerLimits limits{*rc::gen::inRange(1U, 8U), 100,
@@ -153,8 +154,8 @@
   }));
 }
 
-// Guards against a cold server that is given more than it can bear, and against
-// a limit that never reaches the slots once the server is warm.
+// Guards against overloading a cold server, and against a limit that does not
+// reach the slots once the server is warm.
 TEST_CASE("a cold server is warmed up within what it bears", "[gate]") {
   CHECK(rc::check([] {
     SimulatedServer server;
@@ -173,7 +174,7 @@
   }));
 }
 
-// Guards against growth on the evidence of calls that ran under a lower limit.
+// Guards against raising the limit based on calls that ran under a lower limit.
 TEST_CASE("only calls of the current limit let it grow", "[gate]") {
   GateTuning tuning;
   tuning.MinWindow = 1;
@@ -199,7 +200,8 @@
   CHECK(limitAfter(6) == 4);
 }
 
-// Guards against a server that turns cold under full load and is kept there.
+// Guards against keeping a server at full load after it has suddenly become
+// cold.
 TEST_CASE("a sudden cold turn falls back to the cold limit", "[gate]") {
   SimulatedServer server;
   server.Slots = 20;
@@ -207,13 +209,13 @@
   Gate gate({20, 100, 20, 1});
   const auto lowest = simulate(gate, server, 1200, 60s, true, 1);
   CHECK(lowest == 1);
-  // Until the first slow answer nothing shows the turn, so one set of slots is
-  // started, and no second one.
+  // The gate cannot detect the change before the first slow answer, so the
+  // slots may be filled once, but not a second time.
   CHECK(server.OverloadCount <= 20 + 5);
   CHECK(gate.state().Limit == 20);
 }
 
-// Guards against shedding valuable work for work that is worth less.
+// Guards against shedding requests in favour of requests of lower worth.
 TEST_CASE("a full queue sheds the lowest worth, newest first", "[gate]") {
   Gate gate({1, 100, 2, 1});
   CHECK(gate.admit(request(1, 1), T0).Kind == AdmissionKind::Run);
@@ -232,8 +234,8 @@
   CHECK(next == std::vector<GateRequestId>{static_cast<GateRequestId>(6)});
 }
 
-// Guards against running a request whose caller has given up, and against one
-// that waits although it cannot be served in time.
+// Guards against running a request after its deadline, and against queueing a
+// request that cannot be served before its deadline.
 TEST_CASE("queued requests end at their deadline", "[gate]") {
   Gate gate({1, 100, 5, 1});
   gate.admit(request(1, 1), T0);
@@ -248,7 +250,8 @@
         AdmissionKind::Rejected);
 }
 
-// Guards against a planned stop that interrupts running work or takes new work.
+// Guards against a planned shutdown that interrupts running requests or admits
+// new ones.
 TEST_CASE("a leaving server finishes its work and takes no more", "[gate]") {
   Gate gate({1, 100, 5, 1});
   gate.admit(request(1, 1), T0);
@@ -259,14 +262,15 @@
   CHECK(gate.state().Leaving);
 }
 
-// Guards against full load on a server that has just restarted after a crash.
+// Guards against sending full load to a server that has just restarted after a
+// crash.
 TEST_CASE("a failed connection falls back to the cold limit", "[gate]") {
   SimulatedServer server;
   server.WorkToWarm = 50;
   Gate gate({10, 100, 20, 2});
   simulate(gate, server, 600, 10s, false, 1);
   REQUIRE(gate.state().Limit == 10);
-  // Lets one of those in flight fail; drive() numbers requests from 1.
+  // Fails a request that is in flight; simulate() numbers requests from 1.
   const TimePoint now = T0 + 10s;
   for (std::uint64_t id = 1; id < 6000 && gate.state().Limit == 10; ++id) {
     gate.finish(static_cast<GateRequestId>(id), ServerResult::ConnectionFailed,
@@ -279,8 +283,8 @@
   CHECK(refused.RetryAfter > Duration::zero());
 }
 
-// Guards against a running request that has to wait for a connection, because
-// the server bears fewer connections than it has slots.
+// Guards against running requests that wait for a connection because the server
+// accepts fewer connections than it has slots.
 TEST_CASE("slots do not exceed the connections", "[gate]") {
   ServerLimits limits;
   limits.Slots = 10;
