--- a/include/chivefold/core/member_table.h
+++ b/include/chivefold/core/member_table.h
@@ -22,7 +22,7 @@
  * prevails. */
 enum class MemberState : std::uint8_t {
   Alive,
-  /** Finishes its calls and gets no new work. */
+  /** Finishes its calls and gets no new ones. */
   Leaving,
   Suspect,
   Unreachable,
@@ -33,7 +33,7 @@
 std::string_view memberStateName(MemberState state);
 std::optional<MemberState> memberStateFromName(std::string_view name);
 
-/** One daemon and its backend server, as gossiped. */
+/** A daemon and its backend server, as disseminated by gossip. */
 struct Member {
   Address Peer;
   std::string DataCentre;
@@ -43,10 +43,11 @@
   MemberState State = MemberState::Alive;
   std::uint64_t Incarnation = 0;
   std::uint64_t BootId = 0;
-  /** Highest applied offset known of any run of the daemon at this address. */
+  /** Highest log offset known to have been applied by any run of the daemon at
+   * this address. */
   LogOffset Floor = LogOffset::None;
   std::uint16_t CallerPort = 0;
-  /** Port of the operators' HTTP on the same host; 0 if not known. */
+  /** Port of the operator HTTP interface on the same host; 0 if not known. */
   std::uint16_t AdminPort = 0;
 };
 
@@ -57,53 +58,60 @@
   static constexpr std::size_t ReadersPerDataCentre = 3;
   static constexpr std::size_t IndirectProbers = 3;
   static constexpr Duration ProbeInterval = std::chrono::seconds(1);
-  /** Every n-th probe tries an unreachable member, so that a healed partition
-   * is noticed. */
+  /** Every n-th probe goes to an unreachable member, to detect the end of a
+   * network partition. */
   static constexpr std::uint64_t UnreachableProbeEvery = 8;
   static constexpr Duration SuspicionTimeout = std::chrono::seconds(4);
   static constexpr Duration DeadRetention = std::chrono::hours(2);
   static constexpr Duration MassSuspicionWindow = std::chrono::seconds(10);
-  /** Suspicion of fewer members than this is never treated as mass suspicion,
-   * since one member can be a quarter of a small data centre. */
+  /** Fewer suspected members than this are never a mass suspicion, since one
+   * member can be a quarter of a small data centre. */
   static constexpr std::size_t MassSuspicionMinimum = 3;
 };
 
 /**
- * The members known to one daemon. Not thread-safe. Randomness comes from the
- * seed given to the constructor.
+ * The members of the fleet that one daemon knows. All random choices derive
+ * from the seed given to the constructor. Not thread-safe.
  */
 class MemberTable {
 public:
-  /** @param self this daemon; its incarnation is raised by refutation. */
+  /** @param self this daemon. Its incarnation is raised when it refutes an
+   * update. */
   MemberTable(Member self, std::uint64_t seed);
 
   const Member &self() const { return Self; }
 
-  /** Records the own applied offset as floor. Never lowers it. */
+  /** Records the applied offset of this daemon as its floor, which never
+   * decreases. */
   void setFloor(LogOffset floor);
 
-  /** Announces a changed service version or state of this daemon. */
+  /** Changes the service version and state of this daemon and queues the update
+   * for gossip. */
   void updateSelf(std::string serviceVersion, MemberState state);
 
   /**
-   * Merges a gossiped update: a higher incarnation prevails, then the higher
+   * Merges a gossiped update: the higher incarnation prevails, then the higher
    * BootId, then the later state. An update about this daemon that suspects it,
-   * has a higher incarnation or stems from an earlier run raises the own
-   * incarnation, which refutes it. A full table forgets the member that is dead
-   * for longest, or else ignores new members.
-   * @return whether the update changed this table; it is then gossiped on.
+   * has a higher incarnation or comes from an earlier run is refuted by raising
+   * the incarnation of this daemon. If the table is full, the member that has
+   * been dead the longest is evicted; if there is none, new members are
+   * ignored.
+   * @return whether the update changed the table, in which case it is gossiped
+   * further.
    */
   bool merge(const Member &update, TimePoint now);
 
   /**
-   * Merges what a member says about itself in a message received from it.
-   * @return the entry to send back to it, if this table holds one that it must
-   * refute (suspected, or of an earlier run with a higher incarnation).
+   * Merges the entry of a member that is part of a message from that member.
+   * @return the entry to send back, if this table has one that the member must
+   * refute: one that suspects it, or one of an earlier run with a higher
+   * incarnation.
    */
   std::optional<Member> mergeFromSender(const Member &sender, TimePoint now);
 
-  /** Handles expired suspicions and forgets members that are dead for
-   * DeadRetention. Call about once a second. */
+  /** Marks members unreachable whose suspicion timed out, and removes members
+   * that have been dead for DeadRetention. Must be called about once a second.
+   */
   void tick(TimePoint now);
 
   /** @return the member to probe now, at most one per ProbeInterval. Each live
@@ -114,14 +122,16 @@
   /** @return up to IndirectProbers live members for an indirect probe. */
   std::vector<Address> indirectProbers(const Address &target);
 
-  /** Neither the probe nor the indirect probes were answered: suspects the
-   * member, or marks it unreachable without gossip in a mass suspicion. */
+  /** Reports that neither the probe nor the indirect probes of a member were
+   * answered. The member becomes suspect; in a mass suspicion it becomes
+   * unreachable and the change is not gossiped. */
   void probeFailed(const Address &target, TimePoint now);
 
   /**
    * @return updates to piggyback on a message, those sent least often first, at
-   * most MaxUpdatesPerMessage; each is returned 3*ceil(log2(n+1)) times at
-   * most. The queue holds one update per member.
+   * most MaxUpdatesPerMessage. Each update is returned at most
+   * 3*ceil(log2(n+1)) times, where n is the number of alive members. The queue
+   * holds at most one update per member.
    */
   std::vector<Member> takeUpdates();
 
@@ -129,19 +139,21 @@
    * non-const call. Includes this daemon. */
   const Member *find(const Address &address) const;
 
-  /** @return all members including this one, by address. Dead ones are included
-   * if they were seen alive here, so that their records end after twice
-   * DeadRetention although joining daemons copy them. */
+  /** @return all members including this one, sorted by address. Dead members
+   * are included only if this daemon knew them alive. Joining daemons copy dead
+   * members but do not pass them on, so that an entry disappears from the fleet
+   * after at most twice DeadRetention. */
   std::vector<Member> members() const;
 
   /** @return a number that changes whenever a member, its state, service
-   * version or data centre changes. Floors are not counted. */
+   * version or data centre changes. A change of a floor does not change it. */
   std::uint64_t revision() const { return Revision; }
 
   /** @return the number of alive members including this one. */
   std::size_t aliveCount() const;
 
-  /** @return how many data centres have an alive member other than this one. */
+  /** @return the number of data centres with an alive member other than this
+   * daemon. */
   std::size_t otherAliveDataCentreCount() const;
 
   /** @return the highest floor known for the daemon at @p address. */
@@ -164,11 +176,12 @@
   struct Entry {
     Member Value;
     std::uint64_t RendezvousWeight = 0;
-    /** Suspect: when it becomes unreachable. Dead: when it is forgotten. */
+    /** For a suspect member: when it becomes unreachable. For a dead member:
+     * when it is removed. */
     TimePoint Deadline{};
-    /** Unreachable by mass suspicion, which was not gossiped. */
+    /** Unreachable by a mass suspicion, which was not gossiped. */
     bool UnreachableLocally = false;
-    /** Was already dead when this daemon first heard of it. */
+    /** Already dead when this daemon first heard of it. */
     bool FirstHeardDead = false;
   };
   struct Update {
@@ -195,22 +208,22 @@
   Member Self;
   std::uint64_t SelfRendezvousWeight;
   std::uint64_t Revision = 1;
-  /** Result of isReader() at ReaderRevision: it is asked several times a
-   * second, and ranking 4,100 members for each question costs more than all
-   * else. */
+  /** Result of isReader() at ReaderRevision: it is called several times a
+   * second, and ranking 4,100 members in each call would dominate the CPU time.
+   */
   mutable std::uint64_t ReaderRevision = 0;
   mutable bool Reader = false;
   std::mt19937_64 Random;
   MemberMap Members;
-  /** At most one per member and this daemon. */
+  /** At most one update for this daemon and one for each member. */
   std::map<Address, Update> Updates;
   std::uint64_t NextUpdateOrder = 0;
   std::vector<Address> ProbeOrder;
   std::size_t ProbePosition = 0;
   std::uint64_t Probes = 0;
   TimePoint NextProbe{};
-  /** Times of suspicions within MassSuspicionWindow by data centre; at most
-   * MaxMembers each, older ones are dropped. */
+  /** Times of the suspicions within MassSuspicionWindow by data centre, at most
+   * MaxMembers each; older ones are dropped. */
   std::map<std::string, std::deque<TimePoint>> Suspicions;
 };
 
--- a/src/core/member_table_choice.cpp
+++ b/src/core/member_table_choice.cpp
@@ -1,4 +1,5 @@
-// Choice of peers: probes, helpers, readers, random peers, and updates.
+// Selection of probe targets, indirect probers, log readers, random peers and
+// updates to gossip.
 #include "chivefold/core/member_table.h"
 
 #include <algorithm>
@@ -17,7 +18,8 @@
       return target;
     }
   }
-  // The second pass follows a reshuffle, which leaves out dead members.
+  // The second pass uses a new shuffled list, which does not contain dead
+  // members.
   for (int pass = 0; pass < 2; ++pass) {
     while (ProbePosition < ProbeOrder.size()) {
       const auto &target = ProbeOrder[ProbePosition++];
--- a/tests/unit/member_table_test.cpp
+++ b/tests/unit/member_table_test.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-// Guards against a live member that is removed because one probe was lost.
+// Guards against removing a live member because one probe was lost.
 TEST_CASE("a suspected member refutes", "[members]") {
   auto observer = makeTable(20);
   MemberTable suspected(makeMember(2), 8);
@@ -56,13 +56,13 @@
   CHECK(observer.merge(suspected.self(), Start));
   observer.tick(Start + Limits::SuspicionTimeout);
   CHECK(stateOf(observer, 2) == MemberState::Alive);
-  // A late copy of the suspicion is older than the refutation.
+  // A late copy of the suspicion has a lower incarnation than the refutation.
   CHECK_FALSE(observer.merge(*correction, Start));
   CHECK(stateOf(observer, 2) == MemberState::Alive);
 }
 
-// Guards against a dead member that keeps getting work, and one whose floor is
-// forgotten too early or never.
+// Guards against routing requests to a dead member, and against removing its
+// floor too early or never.
 TEST_CASE("a silent member becomes unreachable, then forgotten", "[members]") {
   auto t = makeTable(20);
   auto floor = makeMember(2);
@@ -80,8 +80,8 @@
   CHECK(t.find(floor.Peer) == nullptr);
 }
 
-// Guards against a gossip storm, and against members that stay unreachable
-// after a partition heals.
+// Guards against a burst of gossip in a network partition, and against members
+// that stay unreachable after the partition has ended.
 TEST_CASE("a mass suspicion is not gossiped", "[members]") {
   auto t = makeTable(0, 40);
   while (!t.takeUpdates().empty()) {
@@ -104,8 +104,8 @@
   CHECK(stateOf(slow, 5010) == MemberState::Suspect);
 }
 
-// Guards against a restarted daemon, which has lost its state, being taken for
-// its predecessor, and against the predecessor's floor being lost.
+// Guards against confusing a restarted daemon, which has lost its state, with
+// its previous run, and against losing the floor of the previous run.
 TEST_CASE("a restarted daemon supersedes its predecessor", "[members]") {
   auto t = makeTable(20);
   auto old = makeMember(2, "east", 9);
@@ -122,7 +122,7 @@
   CHECK(t.find(old.Peer)->BootId == 3);
   CHECK(raw(t.floorOf(old.Peer)) == 77);
   CHECK_FALSE(t.merge(inState(old, MemberState::Unreachable), Start));
-  // At equal incarnation all daemons must choose the same run.
+  // At equal incarnation all daemons must choose the same run of the member.
   auto tie = *t.find(old.Peer);
   tie.BootId = 2;
   CHECK_FALSE(t.merge(inState(tie, MemberState::Left), Start));
@@ -130,7 +130,8 @@
   CHECK(t.merge(tie, Start));
 }
 
-// Guards against members that are never probed and so never found dead.
+// Guards against members that are never probed, whose failure would not be
+// detected.
 TEST_CASE("each member is probed once per round", "[members]") {
   auto t = makeTable(50);
   std::set<Address> seen;
@@ -148,7 +149,8 @@
         0);
 }
 
-// Guards against updates that are sent forever or crowd out calls.
+// Guards against updates that are sent endlessly or without a bound per
+// message.
 TEST_CASE("updates are piggybacked a bounded number of times", "[members]") {
   auto t = makeTable(30);
   std::map<Address, int> sent;
@@ -165,7 +167,8 @@
   }
 }
 
-// Guards against a data centre without readers, and diverging choices.
+// Guards against a data centre without log readers, and against daemons that
+// choose different readers.
 TEST_CASE("readers follow the alive members", "[members]") {
   auto t = makeTable(30, 10);
   MemberTable other(makeMember(5000, "west"), 9);
@@ -185,7 +188,7 @@
   CHECK(std::count(next.begin(), next.end(), unreachable) == 0);
 }
 
-// Guards against routers and log readers that stay with members of the past.
+// Guards against routers and log readers that use outdated members.
 TEST_CASE("the revision follows what routing and readers depend on",
           "[members]") {
   auto t = makeTable(9);
@@ -220,7 +223,7 @@
   expectNew(true);
 }
 
-// Guards against changes that stay within a data centre.
+// Guards against changes that are not sent to other data centres.
 TEST_CASE("random peers reach another data centre", "[members]") {
   auto t = makeTable(60, 1);
   for (int n = 0; n < 50; ++n) {
@@ -231,7 +234,7 @@
   }
 }
 
-// Guards against unbounded growth, and against eviction of live members.
+// Guards against unbounded growth and against eviction of live members.
 TEST_CASE("the member table is bounded", "[members]") {
   MemberTable t(makeMember(1), 7);
   for (std::size_t n = 0; n <= Limits::MaxMembers; ++n) {
