--- a/src/core/poison_table.cpp
+++ b/src/core/poison_table.cpp
@@ -50,7 +50,8 @@
   return next;
 }
 
-// @return whether this is news of the death; its clearing is final.
+// @return whether the stage of the crash advanced; a cleared crash stays
+// cleared.
 bool PoisonTable::advanceStage(CrashId id, Stage stage) {
   const auto [it, isNew] = KnownCrashes.emplace(id, stage);
   if (!isNew) {
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -15,7 +15,8 @@
 constexpr auto Digest = static_cast<RequestDigest>(7);
 constexpr std::size_t Fanout = 8;
 
-/** Tables that pass steps on to random others, with a random delay each. */
+/** Simulates tables that forward updates to random other tables with random
+ * delays. */
 class Fleet {
 public:
   Fleet(std::size_t hosts, std::uint64_t seed) : Random(seed) {
@@ -83,9 +84,9 @@
 
 } // namespace
 
-// Guards against a death and the answer that clears it chasing each other
-// through the fleet without end: each copy was older on arrival than when it
-// was sent, so that it seemed to be a new one.
+// Guards against endless forwarding of a crash and of the answer that clears
+// it. When copies were identified by age, each copy arrived older than it was
+// sent and was therefore treated as new.
 TEST_CASE("a death and its answer fall silent", "[poison]") {
   CHECK(rc::check("each table passes a step on once", [](std::uint64_t seed) {
     const auto hosts = *rc::gen::inRange<std::size_t>(2, 80);
--- a/tests/unit/poison_table_test.cpp
+++ b/tests/unit/poison_table_test.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// Guards against a request that crashes server after server, and against
-// quarantine of requests that only ran beside it.
+// Guards against a request that crashes one server after another, and against
+// quarantine of requests that merely ran at the same time.
 TEST_CASE("two deaths quarantine, one success clears a neighbour", "[poison]") {
   PoisonTable table{1};
   CHECK(table.serverCrashed(First, {Crashing, Harmless}, T0).size() == 2);
@@ -32,8 +32,8 @@
   CHECK_FALSE(table.quarantined(Crashing, T0 + 10min + 1s));
 }
 
-// Guards against quarantine by one server that dies repeatedly, and by deaths
-// that are far apart.
+// Guards against quarantine caused by repeated crashes of one server or by
+// crashes that are more than QuarantineTime apart.
 TEST_CASE("the deaths are of different servers and recent", "[poison]") {
   PoisonTable table{1};
   table.serverCrashed(First, {Crashing}, T0);
@@ -43,8 +43,8 @@
   CHECK_FALSE(table.quarantined(Crashing, T0 + 11min));
 }
 
-// Guards against deaths that are seen by different daemons and never add up,
-// and against steps that circulate forever.
+// Guards against crashes seen by different daemons that are not counted
+// together, and against updates that circulate endlessly.
 TEST_CASE("steps of other daemons merge once", "[poison]") {
   PoisonTable table{1};
   table.serverCrashed(First, {Crashing}, T0);
@@ -53,14 +53,14 @@
   CHECK_FALSE(table.merge(step, T0 + 5min));
   CHECK(table.quarantined(Crashing, T0 + 5min) == 6min);
   CHECK_FALSE(table.merge({Harmless, Second, 10min, false, Third, 1}, T0));
-  // A step without an identity cannot be told from its copies.
+  // An update without an id cannot be distinguished from its copies.
   CHECK_FALSE(
       table.merge({Harmless, Second, 4min, false, CrashId::None, 1}, T0));
   CHECK(table.size() == 1);
 }
 
-// Guards against a death that counts again after the request was answered: by a
-// copy that is still under way, or at a daemon that did not see the answer.
+// Guards against counting a crash again after the request was answered, because
+// of a delayed copy or on a daemon that did not see the answer.
 TEST_CASE("an answer clears a death at every daemon", "[poison]") {
   PoisonTable first{1};
   PoisonTable second{2};
@@ -72,20 +72,20 @@
   CHECK(second.merge(removeCrash.front(), T0 + 2s));
   CHECK_FALSE(second.merge(removeCrash.front(), T0 + 2s));
   CHECK(second.size() == 0);
-  // On arrival a copy that took long seems to be of a later death.
+  // A delayed copy appears to report a later crash.
   auto copy = crash.front();
   copy.Age = Duration::zero();
   CHECK_FALSE(second.merge(copy, T0 + 3s));
   CHECK(second.size() == 0);
   second.serverCrashed(Second, {Harmless}, T0 + 4s);
   CHECK_FALSE(second.quarantined(Harmless, T0 + 4s));
-  // An answer that does not know of a death does not clear it.
+  // An answer does not clear a crash that it does not name.
   CHECK_FALSE(second.merge(removeCrash.front(), T0 + 5s));
   CHECK(second.size() == 1);
 }
 
-// Guards against a fleet that is divided on a request: the answer may arrive
-// before the death that it clears.
+// Guards against daemons that disagree on a request because the answer arrived
+// before the crash that it clears.
 TEST_CASE("an answer that overtakes its death clears it", "[poison]") {
   PoisonTable first{1};
   PoisonTable second{2};
@@ -97,7 +97,8 @@
   CHECK(second.size() == 0);
 }
 
-// Guards against a step that is passed on forever by daemons that forgot it.
+// Guards against endless forwarding of an update by daemons that have evicted
+// its id.
 TEST_CASE("a step is passed on a bounded number of times", "[poison]") {
   PoisonTable first{1};
   auto step = first.serverCrashed(First, {Crashing}, T0).front();
@@ -113,14 +114,14 @@
     ++passed;
   }
   CHECK(passed == PoisonTable::MaxHops);
-  // What a probe carries is not passed on.
+  // Updates from activeCrashes(), which probes carry, are not forwarded.
   PoisonTable probed{100};
   CHECK_FALSE(probed.merge(first.activeCrashes(1, T0).front(), T0));
   CHECK(probed.size() == 1);
 }
 
 // Guards against quarantine of a frequent request, which is in flight at most
-// deaths, and against a request that is never suspected after one answer.
+// crashes, and against a request that is exempt forever after one answer.
 TEST_CASE("a request that was just answered is innocent", "[poison]") {
   PoisonTable table{1};
   CHECK_FALSE(table.wasRecentlyAnswered(Harmless, T0 + 1s));
@@ -131,8 +132,8 @@
       Harmless, T0 + 1s + PoisonTable::RecentAnswerWindow));
 }
 
-// Guards against deaths that a joining daemon does not learn, an answer to it
-// that grows without bound, and ages that start anew on the way.
+// Guards against crashes that a joining daemon does not learn of, against an
+// unbounded answer to it, and against ages that are reset in transfer.
 TEST_CASE("known deaths keep their age", "[poison]") {
   PoisonTable first{1};
   first.serverCrashed(First, {Harmless, Crashing}, T0);
@@ -147,7 +148,7 @@
   CHECK(joining.quarantined(Crashing, T0 + 1h) == 9min);
 }
 
-// Guards against unbounded memory when many servers die.
+// Guards against unbounded memory use when many servers crash.
 TEST_CASE("the oldest digest is evicted at the bound", "[poison]") {
   PoisonTable table{1};
   for (std::uint64_t n = 0; n <= PoisonTable::MaxDigests; ++n) {
