--- a/include/chivefold/core/router.h
+++ b/include/chivefold/core/router.h
@@ -17,7 +17,7 @@
 
 namespace chivefold {
 
-/** A backend server as the member table knows it. */
+/** A backend server as described by the member table. */
 struct Candidate {
   /** Address of the daemon beside the server. */
   Address Peer;
@@ -28,88 +28,96 @@
   bool Leaving = false;
 };
 
-/** Versions of a service and the share of the one that a move starts. */
+/** Versions of a service and the share of traffic that the new version gets
+ * during a rollout. */
 struct VersionSplit {
   std::string Current;
-  /** Empty if no move runs. */
+  /** Empty if no rollout is in progress. */
   std::string Next;
-  /** Share of Next in 1/10,000. */
+  /** Share of Next in basis points (1/10,000). */
   std::uint32_t ShareBasisPoints = 0;
 };
 
-/** A chosen server, or why there is none. */
+/** The chosen server, or the time to wait if there is none. */
 struct RouteChoice {
   bool Found = false;
   Address Peer;
   std::string ServiceVersion;
-  /** If none was found: time until a refusing server may be tried again. */
+  /** If none was found: time until a server that refused a call may be tried
+   * again. */
   Duration RetryAfter{};
 };
 
 struct RouterTuning {
-  /** The own data centre is preferred while its score is within this factor. */
+  /** Servers in the same data centre are preferred while their score is at most
+   * this multiple of the score of remote ones. */
   double LocalPreferenceFactor = 2.0;
-  /** Time in which the preference for the own data centre comes back. */
+  /** Time in which the full preference for the own data centre is restored. */
   Duration LocalPreferenceRecoveryTime = std::chrono::seconds(5);
-  /** Time in which errors and gate states lose half of their weight. */
+  /** Half-lives of the weight of observed errors and latencies, and of gate
+   * states. */
   Duration ErrorHalfLife = std::chrono::seconds(5);
   Duration GateHalfLife = std::chrono::milliseconds(500);
-  /** Score factor of a server whose calls all fail. */
+  /** Added to the score factor 1 of a server whose calls all fail. */
   double ErrorPenalty = 200;
   Duration MaxBackOff = std::chrono::seconds(1);
 };
 
 /**
- * Chooses servers: version by share, then the better of two random servers,
- * the own data centre preferred. A choice costs O(1) in the fleet size; an
- * update costs O(servers of the service). Holds at most MaxServers servers;
- * further ones are ignored until others are removed. Not thread-safe.
+ * Chooses the server for a call: first the version according to its share, then
+ * the better of two random servers (power of two choices), with a preference
+ * for the own data centre. A choice takes constant time; an update takes time
+ * linear in the number of servers of the service. Holds at most MaxServers
+ * servers; further ones are ignored until others are removed. Not thread-safe.
  */
 class Router {
 public:
   static constexpr std::size_t MaxServers = 16384;
-  /** Servers looked at when random choices hit only unusable ones. */
+  /** Maximum number of servers scanned if random choices find no usable one. */
   static constexpr std::size_t MaxScan = 64;
 
   Router(std::uint64_t seed, std::string ownDataCentre,
          const RouterTuning &tuning = {});
 
-  /** Adds or changes a server. What is known of its load is kept unless its
-   * service or version changed. */
+  /** Adds or updates a server. Its load statistics are kept unless its service
+   * or version changed. */
   void update(const Candidate &candidate);
   void remove(const Address &peer);
 
-  /** Data centres that get no new work; replaces the previous list. */
+  /** Sets the data centres that get no new calls; replaces the previous list.
+   */
   void setTakenOut(const std::vector<std::string> &dataCentres);
 
-  /** Sets the versions of a service. Without it the service gets no calls. */
+  /** Sets the versions of a service. No server is chosen for a service without
+   * them. */
   void setSplit(const std::string &service, const VersionSplit &split);
   void removeService(const std::string &service);
 
   /**
-   * Chooses a server. The first attempt of a call (empty @p tried) draws from
-   * the share; later ones go to Current, or to Next at a full share. If no
-   * server of the version is usable the other version is chosen, Next only up
-   * to its share.
+   * Chooses a server. The first attempt of a call (empty @p tried) goes to Next
+   * according to its share; later ones go to Current, or to Next at a full
+   * share. If no server of that version is usable, the other version is used,
+   * but Next only up to its share.
    * @param tried servers that this call must not use again.
    */
   RouteChoice choose(std::string_view service,
                      const std::vector<Address> &tried, TimePoint now);
 
-  /** A call was sent. Each is followed by exactly one of the four below;
-   * feedback about an unknown server is ignored. */
+  /** Reports that a call was sent. Exactly one of the four functions below must
+   * follow for each call. Reports about an unknown server are ignored. */
   void started(const Address &peer, TimePoint now);
   void answered(const Address &peer, Duration latency, const GateState &gate,
                 TimePoint now);
-  /** The gate refused (not run); the server is avoided for @p retryAfter, at
-   * most MaxBackOff. */
+  /** Reports that the gate refused the call, which was not run. The server is
+   * not chosen for @p retryAfter, at most MaxBackOff. */
   void refused(const Address &peer, const GateState &gate, Duration retryAfter,
                TimePoint now);
-  /** The call failed or was answered with a server error. Counts with at least
-   * the latency that is typical of the service, so fast errors never look
-   * idle. */
+  /** Reports that the call failed or was answered with a server error. Its
+   * latency counts as at least the typical latency of the service, so that a
+   * server with fast errors does not appear idle. */
   void failed(const Address &peer, Duration latency, TimePoint now);
-  /** The call was cancelled; only its slot is freed. */
+  /** Reports that the call was cancelled, which only reduces the calls in
+   * flight. */
   void cancelled(const Address &peer);
 
   /** @return number of servers known. */
@@ -122,11 +130,11 @@
     /** Smoothed latency in microseconds; 0 before the first answer. */
     double LatencyUs = 0;
     TimePoint LatencyAt{};
-    /** Smoothed share of failures and refusals, 0 to 1, as of ErrorsAt. */
+    /** Smoothed share of failures and refusals, 0 to 1, at time ErrorsAt. */
     double Errors = 0;
     TimePoint ErrorsAt{};
     GateState Gate;
-    /** Load at the gate that other daemons caused, as of GateAt. */
+    /** Load at the gate caused by other daemons, at time GateAt. */
     double ExternalLoad = 0;
     TimePoint GateAt{};
     TimePoint NotBefore{};
@@ -135,7 +143,8 @@
   struct Pool {
     std::vector<std::uint32_t> Local;
     std::vector<std::uint32_t> Remote;
-    /** 0: local preferred by LocalPreferenceFactor; 1: no preference. */
+    /** 0: local servers are preferred by LocalPreferenceFactor; 1: no
+     * preference. */
     double Spillover = 0;
     TimePoint SpilloverAt{};
   };
@@ -146,10 +155,12 @@
     std::vector<std::uint32_t> Members;
     Pool Current;
     Pool Next;
-    /** Low-discrepancy accumulator; a call goes to Next when it reaches
-     * 10,000. Negative after Next took a call beyond its turn. */
+    /** Sum of the shares of past calls; when it reaches 10,000, a call goes to
+     * Next and 10,000 is subtracted. Negative after Next took a call in place
+     * of Current. */
     std::int64_t Accumulator = 0;
-    /** Typical latency of the service in microseconds. */
+    /** Smoothed latency of the service in microseconds; 0 before the first
+     * answer. */
     double LatencyUs = 0;
   };
   struct Pick {
--- a/src/core/router.cpp
+++ b/src/core/router.cpp
@@ -7,30 +7,31 @@
 namespace {
 
 constexpr std::int64_t FullShare = 10000;
-/** Latency of a service before its first answer, in microseconds. */
+/** Assumed latency of a service before its first answer, in microseconds. */
 constexpr double InitialLatencyUs = 1000;
 constexpr double ServerLatencyWeight = 0.2;
 constexpr double ServiceLatencyWeight = 0.02;
 constexpr double FailureWeight = 0.3;
 constexpr double RefusalWeight = 0.05;
-/** An idle server counts as this many requests in flight, so that an idle cold
- * one is used once the others are about half loaded. */
+/** Added to the requests in flight of each server, so that an idle cold server
+ * is used once the others are about half loaded. */
 constexpr double IdleServerLoad = 0.5;
-/** Below this load, data centres are not compared: it is no reason to leave
- * the own one. */
+/** Scores below this load are treated as equal when data centres are compared,
+ * so that a low load does not cause traffic to another data centre. */
 constexpr double MinComparedLoad = 0.5;
-/** Factor for a server whose limit is reached, on top of its load. */
+/** Additional score factor of a server whose limit is reached. */
 constexpr double LimitReachedFactor = 3;
 constexpr double SpilloverStep = 0.1;
 constexpr int MaxRandomDraws = 6;
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-/** After this many half-lives an observation is forgotten; a remainder would
- * keep a recovered server unused while all servers are idle. */
+/** Observations older than this many half-lives have no weight. Otherwise a
+ * recovered server would stay unused while all servers are idle, because of a
+ * small remaining weight. */
 constexpr double MaxHalfLives = 4;
 
-/** @return the weight that an observation has left at @p age. */
+/** @return the remaining weight of an observation of age @p age. */
 double remainingWeight(Duration age, Duration halfLife) {
   const double halfLives = seconds(age) / seconds(halfLife);
   if (halfLives >= MaxHalfLives) {
@@ -125,8 +126,8 @@
 void Router::setSplit(const std::string &service, const VersionSplit &split) {
   auto &state = Services[service];
   if (!state.HasSplit) {
-    // Daemons that start together do not give the new version their share at
-    // the same call.
+    // The random start keeps daemons that start together from sending calls to
+    // the new version in lockstep.
     state.Accumulator = static_cast<std::int64_t>(Random() % FullShare);
   }
   state.HasSplit = true;
@@ -196,8 +197,8 @@
   if (server.LatencyUs == 0) {
     return typical;
   }
-  // An old measurement gives way to the typical one, so that a server that was
-  // slow is tried again.
+  // Old measurements decay towards the typical latency, so that a server that
+  // was slow is tried again.
   return typical +
          (server.LatencyUs - typical) *
              remainingWeight(now - server.LatencyAt, Tuning.ErrorHalfLife);
@@ -214,7 +215,7 @@
   }
   const double limitFactor = load >= limit ? LimitReachedFactor : 1;
   const double errors = errorsAt(server, now);
-  // Squared, so that a single error does not turn away a good server.
+  // Squared, so that a single error does not exclude a good server.
   const double penalty = 1 + Tuning.ErrorPenalty * errors * errors;
   return latency * (load + IdleServerLoad) / limit * limitFactor * penalty;
 }
@@ -317,7 +318,8 @@
     server = pickFromPool(state.Current, state, tried, now);
   } else if (server == nullptr && state.Split.ShareBasisPoints > 0 &&
              state.Accumulator >= 0) {
-    // Next takes a call before its turn, so that its share holds over time.
+    // Next takes the call in advance; the accumulator keeps its share correct
+    // over time.
     server = pickFromPool(state.Next, state, tried, now);
     state.Accumulator -= server != nullptr ? FullShare : 0;
   }
--- a/tests/unit/router_test.cpp
+++ b/tests/unit/router_test.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-/** Makes a call that takes @p latency and is answered. */
+/** Simulates a call that is answered after @p latency. */
 RouteChoice call(Router &router, TimePoint now, Duration latency = 5ms,
                  const GateState &gate = WarmGate) {
   auto choice = router.choose("desk", {}, now);
@@ -41,7 +41,7 @@
 } // namespace
 
 // Guards against a new version that gets more or less traffic than its share,
-// even over few calls.
+// even over a few calls.
 TEST_CASE("any run of calls follows the share to within one call", "[router]") {
   CHECK(rc::check([] {
     const auto share = *rc::gen::inRange(0U, 10001U);
@@ -62,7 +62,8 @@
   }));
 }
 
-// Guards against a fallback that exposes a new version beyond its share.
+// Guards against a fallback that sends more traffic to a new version than its
+// share.
 TEST_CASE("the new version takes over only up to its share", "[router]") {
   Router router(1, "a");
   add(router, 4, 3, "a", "v2");
@@ -86,7 +87,8 @@
   CHECK(call(router, T0).Found);
 }
 
-// Guards against a server that fails fast and therefore looks idle.
+// Guards against preferring a server that fails fast and therefore appears
+// idle.
 TEST_CASE("a server that fails fast gets a small share", "[router]") {
   Router router(3, "a");
   add(router, 1, 8, "a");
@@ -112,13 +114,13 @@
   CHECK(bad < 4000 / 8 / 10);
 }
 
-// Guards against a slow, a cold or a full server that gets the same load as
-// others, and against one that is never tried again after it recovered.
+// Guards against sending the same load to a slow, cold or full server as to
+// others, and against never using it again after it has recovered.
 TEST_CASE("load follows latency and gate state", "[router]") {
   Router router(4, "a");
   add(router, 1, 6, "a");
   router.setSplit("desk", {"v1", "", 0});
-  // A cold server is needed, and so is warmed, when the others are loaded.
+  // A cold server gets calls, which warm it up, when the others are loaded.
   const GateState busy{10, 8, 0, false, false};
   std::map<std::uint16_t, int> counts;
   TimePoint now = T0;
@@ -137,7 +139,8 @@
     }
   };
   sendCalls(true);
-  // An equal share would be 1,000; one pair of 15 consists of both bad ones.
+  // An equal share would be 1,000. One of the 15 pairs of servers consists of
+  // the two degraded ones.
   CHECK(counts[1] + counts[2] < 250);
   now += 20s;
   sendCalls(false);
@@ -145,8 +148,8 @@
   CHECK(counts[2] > 200);
 }
 
-// Guards against needless traffic between data centres, against overload of
-// the own one, and against a preference that flips with each call.
+// Guards against unnecessary traffic between data centres, against overloading
+// the own one, and against a preference that changes with each call.
 TEST_CASE("the own data centre is preferred until it is loaded", "[router]") {
   Router router(5, "a");
   add(router, 1, 3, "a");
@@ -168,8 +171,9 @@
   CHECK(countLocal(T0 + 20s, WarmGate) == 200);
 }
 
-// Guards against new work for data centres taken out, for leaving, dead or
-// refusing servers, and for those that the call has used already.
+// Guards against choosing servers in data centres taken out, servers that are
+// leaving, dead or refused a call recently, and servers that the call has
+// already tried.
 TEST_CASE("unusable servers are never chosen", "[router]") {
   Router router(6, "a");
   add(router, 1, 1, "a");
