--- a/include/chivefold/core/poison_table.h
+++ b/include/chivefold/core/poison_table.h
@@ -93,7 +93,7 @@
 
   /** Merges an update from another daemon. @return the update to forward, if it
    * is new to this table and has hops left. */
-  std::optional<PoisonUpdate> merge(const PoisonUpdate &step, TimePoint now);
+  std::optional<PoisonUpdate> merge(const PoisonUpdate &update, TimePoint now);
 
   /** @return time until the quarantine of the request ends, if it is
    * quarantined. */
@@ -115,7 +115,7 @@
   struct Entry {
     /** Crashes of different servers. */
     std::vector<Crash> Crashes;
-    std::list<RequestDigest>::iterator Age;
+    std::list<RequestDigest>::iterator OrderPosition;
   };
   /** Latest known state of one crash. */
   enum class Stage : std::uint8_t { Crashed, Cleared };
--- a/src/core/claim_table.cpp
+++ b/src/core/claim_table.cpp
@@ -134,9 +134,9 @@
 void ClaimTable::erase(const KeyHash &key) {
   const auto it = Entries.find(key);
   dropResponse(it->second);
-  const auto age = it->second.OrderPosition;
+  const auto position = it->second.OrderPosition;
   Entries.erase(it);
-  InsertionOrder.erase(age);
+  InsertionOrder.erase(position);
 }
 
 std::vector<ClaimEffect> ClaimTable::resolveWaiters(
--- a/src/core/poison_table.cpp
+++ b/src/core/poison_table.cpp
@@ -15,39 +15,39 @@
 PoisonTable::serverCrashed(const Address &server,
                            const std::vector<RequestDigest> &inFlight,
                            TimePoint now) {
-  std::vector<PoisonUpdate> activeCrashes;
+  std::vector<PoisonUpdate> updates;
   for (const auto digest : inFlight) {
     const auto id = static_cast<CrashId>(Random());
     if (recordCrash(digest, {server, now, id}, now)) {
       advanceStage(id, Stage::Crashed);
-      activeCrashes.push_back(
-          {digest, server, Duration::zero(), false, id, MaxHops});
+      updates.push_back({digest, server, Duration::zero(), false, id, MaxHops});
     }
   }
-  return activeCrashes;
+  return updates;
 }
 
-std::optional<PoisonUpdate> PoisonTable::merge(const PoisonUpdate &step,
+std::optional<PoisonUpdate> PoisonTable::merge(const PoisonUpdate &update,
                                                TimePoint now) {
-  const auto age = std::max(step.Age, Duration::zero());
-  const auto stage = step.Cleared ? Stage::Cleared : Stage::Crashed;
-  if (age >= QuarantineTime || step.Id == CrashId::None ||
-      !advanceStage(step.Id, stage)) {
+  const auto age = std::max(update.Age, Duration::zero());
+  const auto stage = update.Cleared ? Stage::Cleared : Stage::Crashed;
+  if (age >= QuarantineTime || update.Id == CrashId::None ||
+      !advanceStage(update.Id, stage)) {
     return std::nullopt;
   }
-  if (step.Cleared) {
-    recordAnswer(step.Digest, now - age);
-    removeCrash(step.Digest, step.Id);
-  } else if (!recordCrash(step.Digest, {step.Server, now - age, step.Id},
+  if (update.Cleared) {
+    recordAnswer(update.Digest, now - age);
+    removeCrash(update.Digest, update.Id);
+  } else if (!recordCrash(update.Digest, {update.Server, now - age, update.Id},
                           now)) {
     return std::nullopt;
   }
-  if (step.Hops == 0) {
+  if (update.Hops == 0) {
     return std::nullopt;
   }
-  auto next = step;
-  next.Hops = static_cast<std::uint8_t>(std::min(step.Hops, MaxHops) - 1);
-  return next;
+  auto forwarded = update;
+  forwarded.Hops =
+      static_cast<std::uint8_t>(std::min(update.Hops, MaxHops) - 1);
+  return forwarded;
 }
 
 // @return whether the stage of the crash advanced; a cleared crash stays
@@ -75,7 +75,8 @@
       erase(InsertionOrder.front());
     }
     it = Entries.emplace(digest, Entry{}).first;
-    it->second.Age = InsertionOrder.insert(InsertionOrder.end(), digest);
+    it->second.OrderPosition =
+        InsertionOrder.insert(InsertionOrder.end(), digest);
   }
   auto &crashes = it->second.Crashes;
   crashes.erase(std::remove_if(crashes.begin(), crashes.end(),
@@ -95,29 +96,29 @@
 
 void PoisonTable::erase(RequestDigest digest) {
   const auto it = Entries.find(digest);
-  const auto age = it->second.Age;
+  const auto position = it->second.OrderPosition;
   Entries.erase(it);
-  InsertionOrder.erase(age);
+  InsertionOrder.erase(position);
 }
 
 std::vector<PoisonUpdate> PoisonTable::requestAnswered(RequestDigest digest,
                                                        TimePoint now) {
-  std::vector<PoisonUpdate> activeCrashes;
+  std::vector<PoisonUpdate> updates;
   if (quarantined(digest, now)) {
-    return activeCrashes;
+    return updates;
   }
   recordAnswer(digest, now);
   const auto it = Entries.find(digest);
   if (it == Entries.end()) {
-    return activeCrashes;
+    return updates;
   }
   for (const auto &crash : it->second.Crashes) {
     advanceStage(crash.Id, Stage::Cleared);
-    activeCrashes.push_back(
+    updates.push_back(
         {digest, crash.Server, Duration::zero(), true, crash.Id, MaxHops});
   }
   erase(digest);
-  return activeCrashes;
+  return updates;
 }
 
 void PoisonTable::removeCrash(RequestDigest digest, CrashId id) {
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -45,7 +45,7 @@
       const auto message = Messages.top();
       Messages.pop();
       if (const auto next =
-              Tables[message.To].merge(message.Step, message.At)) {
+              Tables[message.To].merge(message.Update, message.At)) {
         spread(*next, message.At);
       }
     }
@@ -63,15 +63,15 @@
   struct Message {
     TimePoint At{};
     std::size_t To = 0;
-    PoisonUpdate Step;
+    PoisonUpdate Update;
     bool operator<(const Message &other) const { return At > other.At; }
   };
 
-  void spread(const PoisonUpdate &step, TimePoint now) {
+  void spread(const PoisonUpdate &update, TimePoint now) {
     std::uniform_int_distribution<std::size_t> to(0, Tables.size() - 1);
     std::uniform_int_distribution<int> delay(0, 400);
     for (std::size_t i = 0; i < Fanout; ++i) {
-      Messages.push({now + milliseconds(delay(Random)), to(Random), step});
+      Messages.push({now + milliseconds(delay(Random)), to(Random), update});
       ++Sent;
     }
   }
--- a/tests/unit/poison_table_test.cpp
+++ b/tests/unit/poison_table_test.cpp
@@ -19,7 +19,8 @@
 
 // Guards against a request that crashes one server after another, and against
 // quarantine of requests that merely ran at the same time.
-TEST_CASE("two deaths quarantine, one success clears a neighbour", "[poison]") {
+TEST_CASE("two crashes quarantine a request, an answer clears one",
+          "[poison]") {
   PoisonTable table{1};
   CHECK(table.serverCrashed(First, {Crashing, Harmless}, T0).size() == 2);
   CHECK_FALSE(table.quarantined(Crashing, T0));
@@ -34,7 +35,7 @@
 
 // Guards against quarantine caused by repeated crashes of one server or by
 // crashes that are more than QuarantineTime apart.
-TEST_CASE("the deaths are of different servers and recent", "[poison]") {
+TEST_CASE("only recent crashes of different servers quarantine", "[poison]") {
   PoisonTable table{1};
   table.serverCrashed(First, {Crashing}, T0);
   CHECK(table.serverCrashed(First, {Crashing}, T0 + 1s).empty());
@@ -45,12 +46,12 @@
 
 // Guards against crashes seen by different daemons that are not counted
 // together, and against updates that circulate endlessly.
-TEST_CASE("steps of other daemons merge once", "[poison]") {
+TEST_CASE("updates from other daemons are merged once", "[poison]") {
   PoisonTable table{1};
   table.serverCrashed(First, {Crashing}, T0);
-  const PoisonUpdate step{Crashing, Second, 4min, false, Other, 1};
-  CHECK(table.merge(step, T0 + 5min));
-  CHECK_FALSE(table.merge(step, T0 + 5min));
+  const PoisonUpdate update{Crashing, Second, 4min, false, Other, 1};
+  CHECK(table.merge(update, T0 + 5min));
+  CHECK_FALSE(table.merge(update, T0 + 5min));
   CHECK(table.quarantined(Crashing, T0 + 5min) == 6min);
   CHECK_FALSE(table.merge({Harmless, Second, 10min, false, Third, 1}, T0));
   // An update without an id cannot be distinguished from its copies.
@@ -61,7 +62,7 @@
 
 // Guards against counting a crash again after the request was answered, because
 // of a delayed copy or on a daemon that did not see the answer.
-TEST_CASE("an answer clears a death at every daemon", "[poison]") {
+TEST_CASE("an answer clears a crash on every daemon", "[poison]") {
   PoisonTable first{1};
   PoisonTable second{2};
   const auto crash = first.serverCrashed(First, {Harmless}, T0 + 1s);
@@ -86,7 +87,7 @@
 
 // Guards against daemons that disagree on a request because the answer arrived
 // before the crash that it clears.
-TEST_CASE("an answer that overtakes its death clears it", "[poison]") {
+TEST_CASE("an answer that arrives before its crash clears it", "[poison]") {
   PoisonTable first{1};
   PoisonTable second{2};
   const auto crash = first.serverCrashed(First, {Harmless}, T0 + 1s);
@@ -99,18 +100,18 @@
 
 // Guards against endless forwarding of an update by daemons that have evicted
 // its id.
-TEST_CASE("a step is passed on a bounded number of times", "[poison]") {
+TEST_CASE("an update is forwarded a bounded number of times", "[poison]") {
   PoisonTable first{1};
-  auto step = first.serverCrashed(First, {Crashing}, T0).front();
+  auto update = first.serverCrashed(First, {Crashing}, T0).front();
   std::size_t passed = 0;
   for (std::uint64_t seed = 2; seed < 100; ++seed) {
     PoisonTable next{seed};
-    const auto isAdvance = next.merge(step, T0);
+    const auto forwarded = next.merge(update, T0);
     CHECK(next.size() == 1);
-    if (!isAdvance) {
+    if (!forwarded) {
       break;
     }
-    step = *isAdvance;
+    update = *forwarded;
     ++passed;
   }
   CHECK(passed == PoisonTable::MaxHops);
@@ -122,7 +123,7 @@
 
 // Guards against quarantine of a frequent request, which is in flight at most
 // crashes, and against a request that is exempt forever after one answer.
-TEST_CASE("a request that was just answered is innocent", "[poison]") {
+TEST_CASE("a recently answered request is exempt", "[poison]") {
   PoisonTable table{1};
   CHECK_FALSE(table.wasRecentlyAnswered(Harmless, T0 + 1s));
   table.requestAnswered(Harmless, T0 + 1s);
@@ -134,7 +135,7 @@
 
 // Guards against crashes that a joining daemon does not learn of, against an
 // unbounded answer to it, and against ages that are reset in transfer.
-TEST_CASE("known deaths keep their age", "[poison]") {
+TEST_CASE("active crashes keep their age", "[poison]") {
   PoisonTable first{1};
   first.serverCrashed(First, {Harmless, Crashing}, T0);
   first.serverCrashed(Second, {Crashing}, T0 + 1min);
