--- a/tests/unit/dissemination_test.cpp
+++ b/tests/unit/dissemination_test.cpp
@@ -112,7 +112,7 @@
 
 // Guards against unbounded memory for out-of-order and recent records, and
 // against answering a fetch with records that have a gap.
-TEST_CASE("held records and the ring are bounded", "[dissemination]") {
+TEST_CASE("out-of-order and recent records are bounded", "[dissemination]") {
   const auto log = makeLog(Limits::MaxRecentRecords + 10);
   Daemon d;
   d.Core.accept({log.Entries.begin() + 1, log.Entries.end()}, PeerA, Start);
