--- a/benchmark/dissemination.cpp
+++ b/benchmark/dissemination.cpp
@@ -182,7 +182,7 @@
     const auto self = All[n]->Members.self();
     send(probeBytes(self, updates), [this, n, to, wantsAck, self, updates] {
       auto &d = *All[to];
-      d.Members.heardFrom(self, Now);
+      d.Members.mergeFromSender(self, Now);
       for (const auto &it : updates) {
         d.Members.merge(it, Now);
       }
@@ -216,7 +216,7 @@
     }
     const auto to = Index.at(request->Peer);
     send(fetchBytes(*request), [this, n, to, r = *request] {
-      const auto served = All[to]->Core.serve(r.After);
+      const auto served = All[to]->Core.recordsAfter(r.After);
       send(recordsBytes(served.Records),
            [this, n, from = r.Peer, records = served.Records] {
              accept(n, records, from, false);
--- a/benchmark/request_path_simulation.h
+++ b/benchmark/request_path_simulation.h
@@ -137,7 +137,7 @@
     }
   }
 
-  void call(int origin, bool isFront, const CallTerms &terms,
+  void call(int origin, bool isFront, const CallParameters &terms,
             std::uint32_t worth, std::function<void(const FinishCall &)> done) {
     auto hop = std::make_shared<Hop>(terms, Hosts[origin]->Tokens);
     hop->Origin = origin;
@@ -271,9 +271,9 @@
     if (admission.Shed) {
       refuse(host, *admission.Shed, admission.RetryAfter);
     }
-    if (admission.Kind == Admitted::Run) {
+    if (admission.Kind == AdmissionKind::Run) {
       execute(attempt);
-    } else if (admission.Kind == Admitted::Rejected) {
+    } else if (admission.Kind == AdmissionKind::Rejected) {
       refuse(host, id, admission.RetryAfter);
     } else {
       schedule(attempt->Deadline, [this, &host] {
--- a/fuzz/claim_world.h
+++ b/fuzz/claim_world.h
@@ -361,7 +361,7 @@
                 const AppendResult &r) {
     auto &node = *All[n];
     if (r.Offset) {
-      node.Claims.appended();
+      node.Claims.appendAccepted();
       read(n);
     } else {
       auto effects = node.Claims.appendFailed(keys, r.MayHaveTakenEffect);
@@ -505,8 +505,8 @@
   }
 
   void run(std::size_t n, std::size_t caller) {
-    const CallTerms terms{Now + std::chrono::hours(1),
-                          isWrong("repeat-unknown"), DefaultRetryBudget};
+    const CallParameters terms{Now + std::chrono::hours(1),
+                               isWrong("repeat-unknown"), DefaultRetryBudget};
     const auto run = std::make_shared<Run>(
         Run{caller, CallPolicy(terms, All[n]->Tokens), 0, false, {}});
     advance(n, run, CallEvent{});
@@ -587,7 +587,7 @@
     if (outcome == Outcome::Answered) {
       return act(n, table.answered(key, {200, {}, run->Last.Body}));
     }
-    auto effects = table.ended(key, outcome);
+    auto effects = table.endedWithoutResponse(key, outcome);
     for (auto &it : effects) {
       if (isWrong("unknown-as-notrun") && it.Action == ClaimAction::Unknown) {
         it.Action = ClaimAction::NotRun;
@@ -609,9 +609,9 @@
       leaveGate(n, *admission.Shed,
                 {Outcome::NotRun, false, "", ErrorCode::Overloaded});
     }
-    if (admission.Kind == Admitted::Rejected) {
+    if (admission.Kind == AdmissionKind::Rejected) {
       leaveGate(n, id, {Outcome::NotRun, false, "", admission.Code});
-    } else if (admission.Kind == Admitted::Run) {
+    } else if (admission.Kind == AdmissionKind::Run) {
       execute(n, id);
     }
   }
@@ -678,7 +678,8 @@
       auto it = node.Waiters.begin();
       std::advance(it, which % node.Waiters.size());
       const auto id = it->first;
-      node.Claims.table().forget(hashOf(Callers[it->second.Caller].Key), id);
+      node.Claims.table().removeWaiter(hashOf(Callers[it->second.Caller].Key),
+                                       id);
       say("a caller's deadline passes at daemon " + std::to_string(n));
       reply(n, id, {Outcome::Unknown, false, "", {}});
     }
--- a/include/chivefold/daemon/poison_service.h
+++ b/include/chivefold/daemon/poison_service.h
@@ -69,13 +69,13 @@
   deathsToSend(std::size_t max) const;
 
 private:
-  void spread(const PoisonStep &step);
+  void spread(const PoisonUpdate &step);
 
   Reactor &Loop;
   PeerNetwork &Network;
   Peers RandomPeers;
   PoisonTable Table;
-  RateLimit Spreads;
+  RateLimiter Spreads;
   Logger Lines{"poison"};
 };
 
--- a/include/chivefold/mesh/slot_gate.h
+++ b/include/chivefold/mesh/slot_gate.h
@@ -34,7 +34,7 @@
 
 /** Decision on a new request. A rejected request was certainly not run. */
 struct SlotAdmission {
-  Admitted Kind = Admitted::Run;
+  AdmissionKind Kind = AdmissionKind::Run;
   /** Set if rejected: NotReady or Overloaded. */
   ErrorCode Code = ErrorCode::Ok;
   /** Set if rejected: time until the caller may try this server again. */
--- a/src/mesh/attempt_policy.cpp
+++ b/src/mesh/attempt_policy.cpp
@@ -25,7 +25,7 @@
 
 bool mayRetry(const AttemptFacts &facts) {
   if (facts.End == AttemptEnd::Answered &&
-      (facts.Status < FirstServerError || facts.CallRefused)) {
+      (facts.Status < MinServerErrorStatus || facts.CallRefused)) {
     return false;
   }
   const bool mayHaveRun =
@@ -55,7 +55,7 @@
   if (!mayRetry(facts)) {
     return finalStep(facts);
   }
-  if (reachedServer(facts.End) && !tokens.take(now)) {
+  if (reachedServer(facts.End) && !tokens.tryAcquire(now)) {
     return finalStep(facts);
   }
   return NextStep::Retry;
--- a/src/mesh/slot_gate.cpp
+++ b/src/mesh/slot_gate.cpp
@@ -88,7 +88,7 @@
 }
 
 SlotAdmission SlotGate::refuse(ErrorCode code, Duration wait) const {
-  return {Admitted::Rejected, code,
+  return {AdmissionKind::Rejected, code,
           std::clamp(wait, Tuning.MinRetryAfter, Tuning.MaxRetryAfter)};
 }
 
@@ -157,7 +157,7 @@
   Queue.emplace(key, QueuedRequest{request.Id, request.Deadline,
                                    request.InTimeUntil, request.Route});
   QueuedIds.emplace(request.Id, key);
-  return {Admitted::Queued, ErrorCode::Ok, {}};
+  return {AdmissionKind::Queued, ErrorCode::Ok, {}};
 }
 
 // Moves requests that can no longer meet their target latency behind all
--- a/src/sidecar/backend_service.cpp
+++ b/src/sidecar/backend_service.cpp
@@ -197,7 +197,7 @@
   const auto offer =
       Gate.admit({id, call.Worth, call.Deadline, call.Route, call.InTimeUntil},
                  Loop.now());
-  if (offer.Kind == Admitted::Rejected) {
+  if (offer.Kind == AdmissionKind::Rejected) {
     refuse(reply, offer.Code, offer.RetryAfter);
     return id;
   }
@@ -206,7 +206,7 @@
   entry.Reply = std::move(reply);
   entry.IsCallerWaiting = std::move(callerWaiting);
   entry.Digest = digest;
-  if (offer.Kind == Admitted::Run) {
+  if (offer.Kind == AdmissionKind::Run) {
     send(id);
   } else {
     armTimer();
@@ -283,7 +283,7 @@
   const bool silent = !outcome.Response && outcome.MayHaveRun;
   auto result = resultOf(it->second, outcome);
   result.CallRefused = result.Result == Outcome::Answered &&
-                       result.Status >= FirstServerError &&
+                       result.Status >= MinServerErrorStatus &&
                        Refused.matchError(Loop.now());
   count(it->second, result, latency);
   recordInterruption(it->second, result);
@@ -309,7 +309,7 @@
                                         const CallResult &result) {
   const auto now = Loop.now();
   if (result.Result == Outcome::Answered) {
-    if (result.Status < FirstServerError) {
+    if (result.Status < MinServerErrorStatus) {
       Poison.succeeded(call.Digest);
     }
     if (now >= InterruptedAt + CrashGrace) {
@@ -353,8 +353,8 @@
   auto &counts = Counts[call.Message.Route];
   counts.PathPrefix = call.Message.Route;
   ++counts.Calls;
-  const bool failed =
-      result.Result == Outcome::Unknown || result.Status >= FirstServerError;
+  const bool failed = result.Result == Outcome::Unknown ||
+                      result.Status >= MinServerErrorStatus;
   counts.Errors += failed ? 1 : 0;
   const auto us = static_cast<std::uint64_t>(latency.count()) /
                   (call.WasCold ? ColdSlowdown : 1);
--- a/tests/unit/member_table_test.cpp
+++ b/tests/unit/member_table_test.cpp
@@ -43,31 +43,31 @@
 
 } // namespace
 
-// Guards against a live member that is removed because one probe was lost.
+// Guards against removing a live member because one probe was lost.
 TEST_CASE("a suspected member refutes", "[members]") {
   auto observer = makeTable(20);
   MemberTable suspected(makeMember(2), 8);
   observer.probeFailed({"127.0.0.1", 2}, Start);
   CHECK(stateOf(observer, 2) == MemberState::Suspect);
-  const auto told = observer.heardFrom(suspected.self(), Start);
-  REQUIRE(told);
-  CHECK(suspected.merge(*told, Start));
+  const auto correction = observer.mergeFromSender(suspected.self(), Start);
+  REQUIRE(correction);
+  CHECK(suspected.merge(*correction, Start));
   CHECK(suspected.self().Incarnation == 1);
   CHECK(observer.merge(suspected.self(), Start));
   observer.tick(Start + Limits::SuspicionTimeout);
   CHECK(stateOf(observer, 2) == MemberState::Alive);
-  // A late copy of the suspicion is older than the refutation.
-  CHECK_FALSE(observer.merge(*told, Start));
+  // A late copy of the suspicion has a lower incarnation than the refutation.
+  CHECK_FALSE(observer.merge(*correction, Start));
   CHECK(stateOf(observer, 2) == MemberState::Alive);
 }
 
-// Guards against a dead member that keeps getting work, and one whose floor is
-// forgotten too early or never.
+// Guards against routing requests to a dead member, and against removing its
+// floor too early or never.
 TEST_CASE("a silent member becomes unreachable, then forgotten", "[members]") {
   auto t = makeTable(20);
   auto floor = makeMember(2);
   floor.Floor = LogOffset{42};
-  t.heardFrom(floor, Start);
+  t.mergeFromSender(floor, Start);
   t.probeFailed(floor.Peer, Start);
   const auto deadAt = Start + Limits::SuspicionTimeout;
   t.tick(deadAt - Duration(1));
@@ -80,8 +80,8 @@
   CHECK(t.find(floor.Peer) == nullptr);
 }
 
-// Guards against a gossip storm, and against members that stay unreachable
-// after a partition heals.
+// Guards against a burst of gossip in a network partition, and against members
+// that stay unreachable after the partition has ended.
 TEST_CASE("a mass suspicion is not gossiped", "[members]") {
   auto t = makeTable(0, 40);
   while (!t.takeUpdates().empty()) {
@@ -92,7 +92,7 @@
   CHECK(stateOf(t, 5000) == MemberState::Unreachable);
   CHECK(stateOf(t, 5010) == MemberState::Unreachable);
   CHECK(t.takeUpdates().empty());
-  CHECK_FALSE(t.heardFrom(makeMember(5000, "west"), Start));
+  CHECK_FALSE(t.mergeFromSender(makeMember(5000, "west"), Start));
   CHECK(stateOf(t, 5000) == MemberState::Alive);
   CHECK(t.takeUpdates().empty());
 
@@ -104,8 +104,8 @@
   CHECK(stateOf(slow, 5010) == MemberState::Suspect);
 }
 
-// Guards against a restarted daemon, which has lost its state, being taken for
-// its predecessor, and against the predecessor's floor being lost.
+// Guards against confusing a restarted daemon, which has lost its state, with
+// its previous run, and against losing the floor of the previous run.
 TEST_CASE("a restarted daemon supersedes its predecessor", "[members]") {
   auto t = makeTable(20);
   auto old = makeMember(2, "east", 9);
@@ -113,16 +113,16 @@
   old.Floor = LogOffset{77};
   REQUIRE(t.merge(old, Start));
   MemberTable fresh(makeMember(2, "east", 3), 8);
-  const auto told = t.heardFrom(fresh.self(), Start);
-  REQUIRE(told);
-  CHECK(told->BootId == 9);
-  CHECK(raw(told->Floor) == 77);
-  CHECK(fresh.merge(*told, Start));
-  CHECK_FALSE(t.heardFrom(fresh.self(), Start));
+  const auto correction = t.mergeFromSender(fresh.self(), Start);
+  REQUIRE(correction);
+  CHECK(correction->BootId == 9);
+  CHECK(raw(correction->Floor) == 77);
+  CHECK(fresh.merge(*correction, Start));
+  CHECK_FALSE(t.mergeFromSender(fresh.self(), Start));
   CHECK(t.find(old.Peer)->BootId == 3);
   CHECK(raw(t.floorOf(old.Peer)) == 77);
   CHECK_FALSE(t.merge(inState(old, MemberState::Unreachable), Start));
-  // At equal incarnation all daemons must choose the same run.
+  // At equal incarnation all daemons must choose the same run of the member.
   auto tie = *t.find(old.Peer);
   tie.BootId = 2;
   CHECK_FALSE(t.merge(inState(tie, MemberState::Left), Start));
@@ -130,7 +130,8 @@
   CHECK(t.merge(tie, Start));
 }
 
-// Guards against members that are never probed and so never found dead.
+// Guards against members that are never probed, whose failure would not be
+// detected.
 TEST_CASE("each member is probed once per round", "[members]") {
   auto t = makeTable(50);
   std::set<Address> seen;
@@ -142,13 +143,14 @@
     CHECK_FALSE(t.nextProbe(now));
   }
   CHECK(seen.size() == 50);
-  const auto helpers = t.probeHelpers({"127.0.0.1", 2});
+  const auto helpers = t.indirectProbers({"127.0.0.1", 2});
   CHECK(std::set<Address>(helpers.begin(), helpers.end()).size() == 3);
   CHECK(std::count(helpers.begin(), helpers.end(), Address{"127.0.0.1", 2}) ==
         0);
 }
 
-// Guards against updates that are sent forever or crowd out calls.
+// Guards against updates that are sent endlessly or without a bound per
+// message.
 TEST_CASE("updates are piggybacked a bounded number of times", "[members]") {
   auto t = makeTable(30);
   std::map<Address, int> sent;
@@ -165,7 +167,8 @@
   }
 }
 
-// Guards against a data centre without readers, and diverging choices.
+// Guards against a data centre without log readers, and against daemons that
+// choose different readers.
 TEST_CASE("readers follow the alive members", "[members]") {
   auto t = makeTable(30, 10);
   MemberTable other(makeMember(5000, "west"), 9);
@@ -177,14 +180,15 @@
   CHECK(other.readers("east") == readers);
   CHECK(t.isReader() ==
         (std::count(readers.begin(), readers.end(), t.self().Peer) == 1));
-  const auto gone = readers[0] == t.self().Peer ? readers[1] : readers[0];
-  t.probeFailed(gone, Start);
+  const auto unreachable =
+      readers[0] == t.self().Peer ? readers[1] : readers[0];
+  t.probeFailed(unreachable, Start);
   const auto next = t.readers("east");
   CHECK(next.size() == 3);
-  CHECK(std::count(next.begin(), next.end(), gone) == 0);
+  CHECK(std::count(next.begin(), next.end(), unreachable) == 0);
 }
 
-// Guards against routers and log readers that stay with members of the past.
+// Guards against routers and log readers that use outdated members.
 TEST_CASE("the revision follows what routing and readers depend on",
           "[members]") {
   auto t = makeTable(9);
@@ -210,7 +214,7 @@
   expectNew(true);
   t.probeFailed({"127.0.0.1", 50}, Start);
   expectNew(true);
-  t.heardFrom(makeMember(50), Start);
+  t.mergeFromSender(makeMember(50), Start);
   t.tick(Start + Limits::SuspicionTimeout);
   expectNew(true);
   t.tick(Start + Limits::DeadRetention + Limits::SuspicionTimeout);
@@ -219,7 +223,7 @@
   expectNew(true);
 }
 
-// Guards against changes that stay within a data centre.
+// Guards against changes that are not sent to other data centres.
 TEST_CASE("random peers reach another data centre", "[members]") {
   auto t = makeTable(60, 1);
   for (int n = 0; n < 50; ++n) {
@@ -230,7 +234,7 @@
   }
 }
 
-// Guards against unbounded growth, and against eviction of live members.
+// Guards against unbounded growth and against eviction of live members.
 TEST_CASE("the member table is bounded", "[members]") {
   MemberTable t(makeMember(1), 7);
   for (std::size_t n = 0; n <= Limits::MaxMembers; ++n) {
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -54,7 +54,7 @@
           const SlotRequest request{
               GateRequestId{id}, kind.Priority, at(ms + kind.DeadlineMs),
               "r" + std::to_string(r.Kind), at(ms + kind.TargetMs)};
-          return gate.admit(request, at(ms)).Kind == Admitted::Run;
+          return gate.admit(request, at(ms)).Kind == AdmissionKind::Run;
         },
         [&](std::uint64_t id, const Request &r, std::int64_t ms) {
           gate.finished(GateRequestId{id}, milliseconds(ms - r.StartedMs));
@@ -251,16 +251,16 @@
   };
   std::uint64_t id = 0;
   while (id < 4) {
-    CHECK(gate.admit(request(++id, 200), at(0)).Kind == Admitted::Run);
+    CHECK(gate.admit(request(++id, 200), at(0)).Kind == AdmissionKind::Run);
   }
   // Late on arrival: two are queued, further ones are rejected at once.
-  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Queued);
-  CHECK(gate.admit(request(++id, 10), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == AdmissionKind::Queued);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == AdmissionKind::Queued);
+  CHECK(gate.admit(request(++id, 10), at(0)).Kind == AdmissionKind::Rejected);
   // Requests in time are still queued, and expire once they will be late and
   // are beyond the bound for late requests.
   while (id < 11) {
-    CHECK(gate.admit(request(++id, 300), at(0)).Kind == Admitted::Queued);
+    CHECK(gate.admit(request(++id, 300), at(0)).Kind == AdmissionKind::Queued);
   }
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(290)).size() == 4);
--- a/tests/unit/poison_spread_test.cpp
+++ b/tests/unit/poison_spread_test.cpp
@@ -15,7 +15,8 @@
 constexpr auto Digest = static_cast<RequestDigest>(7);
 constexpr std::size_t Fanout = 8;
 
-/** Tables that pass steps on to random others, with a random delay each. */
+/** Simulates tables that forward updates to random other tables with random
+ * delays. */
 class Fleet {
 public:
   Fleet(std::size_t hosts, std::uint64_t seed) : Random(seed) {
@@ -24,15 +25,15 @@
     }
   }
 
-  void died(std::size_t at, TimePoint now) {
+  void serverCrashed(std::size_t at, TimePoint now) {
     const Address server{"10.0.0.1", static_cast<std::uint16_t>(at + 1)};
-    for (const auto &it : Tables[at].serverDied(server, {Digest}, now)) {
+    for (const auto &it : Tables[at].serverCrashed(server, {Digest}, now)) {
       spread(it, now);
     }
   }
 
-  void answered(std::size_t at, TimePoint now) {
-    for (const auto &it : Tables[at].succeeded(Digest, now)) {
+  void requestAnswered(std::size_t at, TimePoint now) {
+    for (const auto &it : Tables[at].requestAnswered(Digest, now)) {
       spread(it, now);
     }
   }
@@ -44,14 +45,14 @@
       const auto message = Messages.top();
       Messages.pop();
       if (const auto next =
-              Tables[message.To].merge(message.Step, message.At)) {
+              Tables[message.To].merge(message.Update, message.At)) {
         spread(*next, message.At);
       }
     }
   }
 
   std::size_t sent() const { return Sent; }
-  bool silent() const { return Messages.empty(); }
+  bool idle() const { return Messages.empty(); }
   std::size_t suspecting() const {
     return static_cast<std::size_t>(
         std::count_if(Tables.begin(), Tables.end(),
@@ -62,15 +63,15 @@
   struct Message {
     TimePoint At{};
     std::size_t To = 0;
-    PoisonStep Step;
+    PoisonUpdate Update;
     bool operator<(const Message &other) const { return At > other.At; }
   };
 
-  void spread(const PoisonStep &step, TimePoint now) {
+  void spread(const PoisonUpdate &update, TimePoint now) {
     std::uniform_int_distribution<std::size_t> to(0, Tables.size() - 1);
     std::uniform_int_distribution<int> delay(0, 400);
     for (std::size_t i = 0; i < Fanout; ++i) {
-      Messages.push({now + milliseconds(delay(Random)), to(Random), step});
+      Messages.push({now + milliseconds(delay(Random)), to(Random), update});
       ++Sent;
     }
   }
@@ -83,25 +84,25 @@
 
 } // namespace
 
-// Guards against a death and the answer that clears it chasing each other
-// through the fleet without end: each copy was older on arrival than when it
-// was sent, so that it seemed to be a new one.
+// Guards against endless forwarding of a crash and of the answer that clears
+// it. When copies were identified by age, each copy arrived older than it was
+// sent and was therefore treated as new.
 TEST_CASE("a death and its answer fall silent", "[poison]") {
   CHECK(rc::check("each table passes a step on once", [](std::uint64_t seed) {
     const auto hosts = *rc::gen::inRange<std::size_t>(2, 80);
-    const auto deaths = *rc::gen::inRange<std::size_t>(1, 3);
+    const auto crashes = *rc::gen::inRange<std::size_t>(1, 3);
     const auto answerAfter = milliseconds(*rc::gen::inRange(0, 1000));
     const TimePoint start{std::chrono::hours(1)};
     Fleet fleet(hosts, seed);
-    for (std::size_t i = 0; i < deaths; ++i) {
-      fleet.died(0, start + i * milliseconds(5));
+    for (std::size_t i = 0; i < crashes; ++i) {
+      fleet.serverCrashed(0, start + i * milliseconds(5));
     }
-    const auto bound = (deaths + 1) * hosts * Fanout;
+    const auto bound = (crashes + 1) * hosts * Fanout;
     fleet.run(start + answerAfter, bound);
-    fleet.answered(hosts - 1, start + answerAfter);
-    fleet.answered(0, start + answerAfter);
+    fleet.requestAnswered(hosts - 1, start + answerAfter);
+    fleet.requestAnswered(0, start + answerAfter);
     fleet.run(TimePoint::max(), bound * 4);
-    RC_ASSERT(fleet.silent());
+    RC_ASSERT(fleet.idle());
     RC_ASSERT(fleet.sent() <= bound * 2);
   }));
 }
--- a/tests/unit/slot_gate_test.cpp
+++ b/tests/unit/slot_gate_test.cpp
@@ -22,11 +22,11 @@
 // never answer requests that they cannot queue.
 TEST_CASE("concurrency stays within the slots", "[slot_gate]") {
   SlotGate gate;
-  CHECK(gate.admit(request(1), at(0)).Kind == Admitted::Rejected);
+  CHECK(gate.admit(request(1), at(0)).Kind == AdmissionKind::Rejected);
   gate.open(2, 0);
-  CHECK(gate.admit(request(1), at(0)).Kind == Admitted::Run);
-  CHECK(gate.admit(request(2), at(0)).Kind == Admitted::Run);
-  CHECK(gate.admit(request(3), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(1), at(0)).Kind == AdmissionKind::Run);
+  CHECK(gate.admit(request(2), at(0)).Kind == AdmissionKind::Run);
+  CHECK(gate.admit(request(3), at(0)).Kind == AdmissionKind::Queued);
   CHECK(gate.start(at(1)).empty());
   gate.finished(GateRequestId{1}, milliseconds(10));
   CHECK(gate.start(at(2)) == std::vector<GateRequestId>{GateRequestId{3}});
@@ -66,7 +66,7 @@
     gate.admit(request(++id, 0, ms + 60), at(ms));
     if (ms % 60 == 0) {
       const auto admission = gate.admit(request(++id, 2, ms + 500), at(ms));
-      if (admission.Kind == Admitted::Queued) {
+      if (admission.Kind == AdmissionKind::Queued) {
         lowPriorityIds.push_back(id);
       }
     }
@@ -93,10 +93,10 @@
   gate.finished(GateRequestId{1}, milliseconds(100));
   gate.admit(request(2), at(0));
   const auto admission = gate.admit(request(3, 1, 60), at(0));
-  CHECK(admission.Kind == Admitted::Rejected);
+  CHECK(admission.Kind == AdmissionKind::Rejected);
   CHECK(admission.Code == ErrorCode::Overloaded);
   CHECK(admission.RetryAfter > Duration::zero());
-  CHECK(gate.admit(request(4, 1, 400), at(0)).Kind == Admitted::Queued);
+  CHECK(gate.admit(request(4, 1, 400), at(0)).Kind == AdmissionKind::Queued);
   CHECK(gate.expire(at(100)).empty());
   CHECK(gate.expire(at(350)) == std::vector<GateRequestId>{GateRequestId{4}});
 }
@@ -117,7 +117,7 @@
   admit(2, 1, 5000);
   for (const auto &it :
        {admit(3, 2, 200), admit(4, 0, 300), admit(5, 1, 400)}) {
-    REQUIRE(it.Kind == Admitted::Queued);
+    REQUIRE(it.Kind == AdmissionKind::Queued);
   }
   std::vector<GateRequestId> seen;
   for (const auto ms : {150, 250, 350, 450}) {
@@ -147,7 +147,7 @@
   std::uint64_t id = 0;
   for (std::int64_t ms = 0; ms < 3000; ms += 5) {
     const auto admission = gate.admit(request(++id), at(ms));
-    if (admission.Kind == Admitted::Run) {
+    if (admission.Kind == AdmissionKind::Run) {
       starts.push_back(ms);
     }
     for (const auto it : gate.start(at(ms))) {
