--- a/include/chivefold/core/recovery.h
+++ b/include/chivefold/core/recovery.h
@@ -26,7 +26,7 @@
 };
 
 /** What the recovery compares with. */
-struct RecoveryView {
+struct RecoveryContext {
   /** Offset applied by this daemon. */
   LogOffset Applied = LogOffset::None;
   /** Alive members other than this daemon. */
@@ -50,8 +50,8 @@
  */
 class Recovery {
 public:
-  static constexpr std::size_t PeersNeeded = 5;
-  static constexpr std::size_t DataCentresNeeded = 2;
+  static constexpr std::size_t MinReadyPeers = 5;
+  static constexpr std::size_t MinDataCentres = 2;
   /** Answers kept, one per peer; further peers are ignored. */
   static constexpr std::size_t MaxAnswers = 64;
 
@@ -64,29 +64,29 @@
 
   /** The log was searched from @p first, its oldest retained offset, and has
    * no complete snapshot that its records continue. */
-  void snapshotMissing(LogOffset first) { MissingBefore = first; }
+  void snapshotMissing(LogOffset first) { OldestRetained = first; }
 
   /** Records a peer's newest answer. */
   void peerAnswered(const PeerAnswer &answer);
 
-  /** @return the readiness given @p view. */
-  Readiness update(const RecoveryView &view);
+  /** @return the readiness given @p context. */
+  Readiness update(const RecoveryContext &context);
 
-  bool ready() const { return IsReady; }
+  bool ready() const { return HasRecovered; }
 
   /** @return the ready peer with the highest offset above @p applied, to fetch
    * from, if there is one. */
-  std::optional<Address> bestPeer(LogOffset applied) const;
+  std::optional<Address> mostAdvancedPeer(LogOffset applied) const;
 
 private:
-  std::string peersMissing(const RecoveryView &view) const;
+  std::string peerShortfall(const RecoveryContext &context) const;
 
-  bool IsReady = false;
-  bool LogDown = false;
-  std::optional<LogOffset> TailNext;
+  bool HasRecovered = false;
+  bool LogIsDown = false;
+  std::optional<LogOffset> NextOffsetAtStart;
   /** Records below this are trimmed, and the log has no snapshot. */
-  LogOffset MissingBefore = LogOffset::None;
-  LogOffset Floor = LogOffset::None;
+  LogOffset OldestRetained = LogOffset::None;
+  LogOffset PredecessorFloor = LogOffset::None;
   std::map<Address, PeerAnswer> Answers;
 };
 
--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -6,45 +6,47 @@
 namespace chivefold {
 
 void Recovery::logReached(LogOffset next) {
-  LogDown = false;
-  if (!TailNext) {
-    TailNext = next;
+  LogIsDown = false;
+  if (!NextOffsetAtStart) {
+    NextOffsetAtStart = next;
   }
 }
 
-void Recovery::logUnavailable() { LogDown = true; }
+void Recovery::logUnavailable() { LogIsDown = true; }
 
 void Recovery::peerAnswered(const PeerAnswer &answer) {
-  Floor = std::max(Floor, answer.YourFloor);
+  PredecessorFloor = std::max(PredecessorFloor, answer.YourFloor);
   if (Answers.size() < MaxAnswers || Answers.count(answer.Peer) != 0) {
     Answers[answer.Peer] = answer;
   }
 }
 
-Readiness Recovery::update(const RecoveryView &view) {
-  if (IsReady) {
+Readiness Recovery::update(const RecoveryContext &context) {
+  if (HasRecovered) {
     return {true, {}};
   }
   std::string reason;
-  if (TailNext && raw(view.Applied) + 1 >= raw(*TailNext)) {
-    IsReady = true;
-  } else if (LogDown) {
-    reason = peersMissing(view);
-    IsReady = reason.empty();
-  } else if (raw(view.Applied) + 1 < raw(MissingBefore)) {
+  if (NextOffsetAtStart &&
+      raw(context.Applied) + 1 >= raw(*NextOffsetAtStart)) {
+    HasRecovered = true;
+  } else if (LogIsDown) {
+    reason = peerShortfall(context);
+    HasRecovered = reason.empty();
+  } else if (raw(context.Applied) + 1 < raw(OldestRetained)) {
     reason = "the log retains records from " +
-             std::to_string(raw(MissingBefore)) +
+             std::to_string(raw(OldestRetained)) +
              " on and no complete snapshot; asking peers";
-  } else if (TailNext) {
-    reason = "reading the log: applied " + std::to_string(raw(view.Applied)) +
-             ", tail " + std::to_string(raw(*TailNext) - 1);
+  } else if (NextOffsetAtStart) {
+    reason = "reading the log: applied " +
+             std::to_string(raw(context.Applied)) + ", tail " +
+             std::to_string(raw(*NextOffsetAtStart) - 1);
   } else {
     reason = "the log has not answered yet";
   }
-  return {IsReady, reason};
+  return {HasRecovered, reason};
 }
 
-std::optional<Address> Recovery::bestPeer(LogOffset applied) const {
+std::optional<Address> Recovery::mostAdvancedPeer(LogOffset applied) const {
   std::optional<Address> best;
   for (const auto &it : Answers) {
     if (it.second.Ready && it.second.Applied > applied) {
@@ -55,35 +57,37 @@
   return best;
 }
 
-std::string Recovery::peersMissing(const RecoveryView &view) const {
-  std::size_t ready = 0;
-  auto newest = Floor;
+std::string Recovery::peerShortfall(const RecoveryContext &context) const {
+  std::size_t readyPeers = 0;
+  auto requiredOffset = PredecessorFloor;
   std::set<std::string> dataCentres;
   for (const auto &it : Answers) {
     if (it.second.Ready) {
-      ++ready;
+      ++readyPeers;
       dataCentres.insert(it.second.DataCentre);
-      newest = std::max(newest, it.second.Applied);
+      requiredOffset = std::max(requiredOffset, it.second.Applied);
     }
   }
   // Peers that are starting too hold no state, so that waiting for them would
   // block a fleet of which only a few daemons survived.
-  const auto starting = Answers.size() - ready;
-  const auto holders =
-      view.OtherMembers > starting ? view.OtherMembers - starting : 0;
-  const auto needed = std::max<std::size_t>(1, std::min(PeersNeeded, holders));
-  if (ready < needed) {
-    return "log down: " + std::to_string(ready) + " of " +
-           std::to_string(needed) + " peers answered with their state";
+  const auto startingPeers = Answers.size() - readyPeers;
+  const auto peersWithState = context.OtherMembers > startingPeers
+                                  ? context.OtherMembers - startingPeers
+                                  : 0;
+  const auto neededPeers =
+      std::max<std::size_t>(1, std::min(MinReadyPeers, peersWithState));
+  if (readyPeers < neededPeers) {
+    return "log down: " + std::to_string(readyPeers) + " of " +
+           std::to_string(neededPeers) + " peers answered with their state";
   }
-  const auto spread = std::max<std::size_t>(
-      1, std::min(DataCentresNeeded, view.OtherDataCentres));
-  if (dataCentres.size() < spread) {
+  const auto neededDataCentres = std::max<std::size_t>(
+      1, std::min(MinDataCentres, context.OtherDataCentres));
+  if (dataCentres.size() < neededDataCentres) {
     return "log down: peers of one data centre only answered";
   }
-  if (view.Applied < newest) {
-    return "log down: applied " + std::to_string(raw(view.Applied)) +
-           " is below the floor " + std::to_string(raw(newest));
+  if (context.Applied < requiredOffset) {
+    return "log down: applied " + std::to_string(raw(context.Applied)) +
+           " is below the floor " + std::to_string(raw(requiredOffset));
   }
   return {};
 }
--- a/src/daemon/control_service.cpp
+++ b/src/daemon/control_service.cpp
@@ -63,7 +63,7 @@
   readLog();
   if (!WasReady) {
     const auto better =
-        Parts.Records.recovery().bestPeer(Parts.State.applied());
+        Parts.Records.recovery().mostAdvancedPeer(Parts.State.applied());
     if (better && !SnapshotPending) {
       requestSnapshot(*better);
     }
--- a/tests/unit/dissemination_test.cpp
+++ b/tests/unit/dissemination_test.cpp
@@ -185,7 +185,7 @@
   CHECK_FALSE(ready(40)); // below the floor
   answer(1, 50);
   CHECK_FALSE(ready(40));
-  CHECK(r.bestPeer(LogOffset{40}) == Address{"127.0.0.1", 1});
+  CHECK(r.mostAdvancedPeer(LogOffset{40}) == Address{"127.0.0.1", 1});
   CHECK(ready(50));
 }
 
@@ -193,7 +193,7 @@
 TEST_CASE("five peers are needed while the log is down", "[recovery]") {
   Recovery r;
   r.logUnavailable();
-  for (std::uint16_t port = 1; port <= Recovery::PeersNeeded; ++port) {
+  for (std::uint16_t port = 1; port <= Recovery::MinReadyPeers; ++port) {
     CHECK_FALSE(r.update({LogOffset{9}, 100, 2}).Ready);
     r.peerAnswered({{"127.0.0.1", port},
                     port % 2 == 0 ? "east" : "west",
