--- a/include/chivefold/core/metrics.h
+++ b/include/chivefold/core/metrics.h
@@ -56,15 +56,15 @@
   double Objective = 0;
   /** Part of the error budget of all calls so far that is spent; above 1 the
    * objective is missed. */
-  double BudgetSpent = 0;
+  double ErrorBudgetSpent = 0;
   /** Rate of bad calls over the window, divided by the rate that the objective
    * allows. */
-  double BurnShort = 0;
-  double BurnLong = 0;
+  double ShortBurnRate = 0;
+  double LongBurnRate = 0;
   /** Counts behind the burn rates; unlike rates, those of several daemons can
    * be added. */
-  WindowCounts Short;
-  WindowCounts Long;
+  WindowCounts ShortWindow;
+  WindowCounts LongWindow;
   /** Calls by latency, see latencyBucketMs(). Quantiles of several daemons can
    * not be merged, these counts can. */
   std::array<std::uint64_t, 70> LatencyBuckets{};
@@ -73,7 +73,7 @@
 /** @return upper bound in milliseconds of a latency bucket. Bounds grow by a
  * third of an octave (26%) from 0.125 ms; the last one, 1,049 s, is above the
  * longest timeout and takes everything beyond it. Thread-safe. */
-double latencyBucketMs(std::size_t bucket);
+double latencyBucketBoundMs(std::size_t bucket);
 
 /** All figures at one instant, ordered by service and kind. */
 struct MetricsReport {
@@ -125,12 +125,14 @@
 private:
   struct Series;
   using SeriesKey = std::pair<std::string, std::string>;
-  bool isFull() const { return All.size() + 1 >= MetricsSettings::MaxSeries; }
+  bool isFull() const {
+    return SeriesByKey.size() + 1 >= MetricsSettings::MaxSeries;
+  }
   Series &seriesFor(std::string_view service, std::string_view kind);
   double objectiveOf(const SeriesKey &key) const;
 
   MetricsSettings Settings;
-  std::map<SeriesKey, std::unique_ptr<Series>> All;
+  std::map<SeriesKey, std::unique_ptr<Series>> SeriesByKey;
   std::map<SeriesKey, double> Objectives;
 };
 
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -14,7 +14,7 @@
 
 namespace chivefold {
 
-double latencyBucketMs(std::size_t bucket) {
+double latencyBucketBoundMs(std::size_t bucket) {
   return 0.125 * std::exp2(static_cast<double>(bucket) / 3);
 }
 
@@ -22,7 +22,7 @@
 
 namespace acc = boost::accumulators;
 
-using Latency = acc::accumulator_set<
+using LatencyAccumulator = acc::accumulator_set<
     double, acc::stats<acc::tag::count, acc::tag::mean, acc::tag::max,
                        acc::tag::extended_p_square>>;
 
@@ -36,9 +36,9 @@
   explicit BucketRing(Duration window) : BucketLength(window / N) {}
 
   void add(TimePoint now, bool good) {
-    auto &bucket = Buckets[indexOf(now) % N];
-    if (bucket.Index != indexOf(now)) {
-      bucket = {indexOf(now), {}};
+    auto &bucket = Buckets[bucketIndexAt(now) % N];
+    if (bucket.Index != bucketIndexAt(now)) {
+      bucket = {bucketIndexAt(now), {}};
     }
     ++bucket.Counts.Calls;
     bucket.Counts.Bad += good ? 0 : 1;
@@ -48,7 +48,7 @@
     WindowCounts out;
     for (const auto &it : Buckets) {
       if (it.Index >= 0 &&
-          it.Index + static_cast<std::int64_t>(N) > indexOf(now)) {
+          it.Index + static_cast<std::int64_t>(N) > bucketIndexAt(now)) {
         out.Calls += it.Counts.Calls;
         out.Bad += it.Counts.Bad;
       }
@@ -61,21 +61,21 @@
     std::int64_t Index = -1;
     WindowCounts Counts;
   };
-  std::int64_t indexOf(TimePoint now) const {
+  std::int64_t bucketIndexAt(TimePoint now) const {
     return now.time_since_epoch() / BucketLength;
   }
   Duration BucketLength;
   std::array<Bucket, N> Buckets{};
 };
 
-std::size_t latencyBucket(double ms) {
+std::size_t latencyBucketIndex(double ms) {
   constexpr auto last =
       std::tuple_size_v<decltype(SeriesReport::LatencyBuckets)> - 1;
-  if (ms <= latencyBucketMs(0)) {
+  if (ms <= latencyBucketBoundMs(0)) {
     return 0;
   }
-  return std::min(last, static_cast<std::size_t>(
-                            std::ceil(3 * std::log2(ms / latencyBucketMs(0)))));
+  return std::min(last, static_cast<std::size_t>(std::ceil(
+                            3 * std::log2(ms / latencyBucketBoundMs(0)))));
 }
 
 double burnRate(const WindowCounts &counts, double objective) {
@@ -85,7 +85,7 @@
                    static_cast<double>(counts.Calls) / (1 - objective);
 }
 
-std::string escaped(const std::string &text) {
+std::string escapedLabelValue(const std::string &text) {
   std::string out;
   for (const char c : text) {
     if (c == '\\' || c == '"') {
@@ -97,14 +97,14 @@
 }
 
 /** One metric of the Prometheus text with its value for a series. */
-struct Exported {
+struct ExportedMetric {
   const char *Name;
   const char *Type;
   const char *Label;
   double (*Value)(const SeriesReport &);
 };
 
-const std::array<Exported, 16> ExportedMetrics = {{
+const std::array<ExportedMetric, 16> ExportedMetrics = {{
     {"chivefold_calls_total", "counter", "outcome=\"answered\"",
      [](const SeriesReport &s) { return static_cast<double>(s.Answered); }},
     {"chivefold_calls_total", "counter", "outcome=\"not-run\"",
@@ -132,21 +132,21 @@
     {"chivefold_objective", "gauge", "",
      [](const SeriesReport &s) { return s.Objective; }},
     {"chivefold_error_budget_spent", "gauge", "",
-     [](const SeriesReport &s) { return s.BudgetSpent; }},
+     [](const SeriesReport &s) { return s.ErrorBudgetSpent; }},
     {"chivefold_burn_rate", "gauge", "window=\"5m\"",
-     [](const SeriesReport &s) { return s.BurnShort; }},
+     [](const SeriesReport &s) { return s.ShortBurnRate; }},
     {"chivefold_burn_rate", "gauge", "window=\"1h\"",
-     [](const SeriesReport &s) { return s.BurnLong; }},
+     [](const SeriesReport &s) { return s.LongBurnRate; }},
 }};
 
 } // namespace
 
 struct Metrics::Series {
-  SeriesReport Figures;
-  Latency LatencyMs{acc::extended_p_square_probabilities =
-                        MetricsSettings::Quantiles};
-  BucketRing<30> Short{MetricsSettings::ShortWindow};
-  BucketRing<60> Long{MetricsSettings::LongWindow};
+  SeriesReport Totals;
+  LatencyAccumulator LatencyMs{acc::extended_p_square_probabilities =
+                                   MetricsSettings::Quantiles};
+  BucketRing<30> ShortWindow{MetricsSettings::ShortWindow};
+  BucketRing<60> LongWindow{MetricsSettings::LongWindow};
 };
 
 Metrics::Metrics(const MetricsSettings &settings) : Settings(settings) {}
@@ -155,35 +155,35 @@
 Metrics::Series &Metrics::seriesFor(std::string_view service,
                                     std::string_view kind) {
   SeriesKey key(service, kind);
-  auto it = All.find(key);
+  auto it = SeriesByKey.find(key);
   // The last place is kept for the series "other".
-  if (it == All.end() && isFull()) {
+  if (it == SeriesByKey.end() && isFull()) {
     key = {"other", "other"};
-    it = All.find(key);
+    it = SeriesByKey.find(key);
   }
-  if (it == All.end()) {
-    it = All.emplace(key, std::make_unique<Series>()).first;
-    it->second->Figures.Service = key.first;
-    it->second->Figures.Kind = key.second;
+  if (it == SeriesByKey.end()) {
+    it = SeriesByKey.emplace(key, std::make_unique<Series>()).first;
+    it->second->Totals.Service = key.first;
+    it->second->Totals.Kind = key.second;
   }
   return *it->second;
 }
 
 void Metrics::record(TimePoint now, const CallSample &sample) {
   auto &series = seriesFor(sample.Service, sample.Kind);
-  auto &figures = series.Figures;
-  figures.Answered += sample.Result == Outcome::Answered ? 1 : 0;
-  figures.NotRun += sample.Result == Outcome::NotRun ? 1 : 0;
-  figures.Unknown += sample.Result == Outcome::Unknown ? 1 : 0;
-  figures.Good += sample.Good ? 1 : 0;
-  figures.WorthOffered += sample.Worth;
-  figures.WorthServed += sample.Good ? sample.Worth : 0;
+  auto &totals = series.Totals;
+  totals.Answered += sample.Result == Outcome::Answered ? 1 : 0;
+  totals.NotRun += sample.Result == Outcome::NotRun ? 1 : 0;
+  totals.Unknown += sample.Result == Outcome::Unknown ? 1 : 0;
+  totals.Good += sample.Good ? 1 : 0;
+  totals.WorthOffered += sample.Worth;
+  totals.WorthServed += sample.Good ? sample.Worth : 0;
   const auto ms =
       std::chrono::duration<double, std::milli>(sample.Latency).count();
   series.LatencyMs(ms);
-  ++figures.LatencyBuckets[latencyBucket(ms)];
-  series.Short.add(now, sample.Good);
-  series.Long.add(now, sample.Good);
+  ++totals.LatencyBuckets[latencyBucketIndex(ms)];
+  series.ShortWindow.add(now, sample.Good);
+  series.LongWindow.add(now, sample.Good);
 }
 
 void Metrics::setObjective(std::string_view service, std::string_view kind,
@@ -214,28 +214,28 @@
 
 MetricsReport Metrics::report(TimePoint now) const {
   MetricsReport out;
-  for (const auto &it : All) {
+  for (const auto &it : SeriesByKey) {
     const auto &series = *it.second;
-    auto figures = series.Figures;
-    figures.Objective = objectiveOf(it.first);
+    auto entry = series.Totals;
+    entry.Objective = objectiveOf(it.first);
     const auto count = acc::count(series.LatencyMs);
     if (count > 0) {
-      figures.LatencyMeanMs = acc::mean(series.LatencyMs);
-      figures.LatencyMaxMs = acc::max(series.LatencyMs);
-      figures.LatencyQuantilesMs.fill(figures.LatencyMaxMs);
+      entry.LatencyMeanMs = acc::mean(series.LatencyMs);
+      entry.LatencyMaxMs = acc::max(series.LatencyMs);
+      entry.LatencyQuantilesMs.fill(entry.LatencyMaxMs);
     }
     if (count >= MinQuantileSamples) {
       const auto quantiles = acc::extended_p_square(series.LatencyMs);
       std::copy(quantiles.begin(), quantiles.end(),
-                figures.LatencyQuantilesMs.begin());
+                entry.LatencyQuantilesMs.begin());
     }
-    figures.BudgetSpent =
-        burnRate({count, count - figures.Good}, figures.Objective);
-    figures.Short = series.Short.sum(now);
-    figures.Long = series.Long.sum(now);
-    figures.BurnShort = burnRate(figures.Short, figures.Objective);
-    figures.BurnLong = burnRate(figures.Long, figures.Objective);
-    out.Series.push_back(std::move(figures));
+    entry.ErrorBudgetSpent =
+        burnRate({count, count - entry.Good}, entry.Objective);
+    entry.ShortWindow = series.ShortWindow.sum(now);
+    entry.LongWindow = series.LongWindow.sum(now);
+    entry.ShortBurnRate = burnRate(entry.ShortWindow, entry.Objective);
+    entry.LongBurnRate = burnRate(entry.LongWindow, entry.Objective);
+    out.Series.push_back(std::move(entry));
   }
   return out;
 }
@@ -251,8 +251,9 @@
     for (const auto &it : report.Series) {
       std::array<char, 32> value{};
       std::snprintf(value.data(), value.size(), "%.10g", metric.Value(it));
-      out += std::string(metric.Name) + "{service=\"" + escaped(it.Service) +
-             "\",kind=\"" + escaped(it.Kind) + "\"" +
+      out += std::string(metric.Name) + "{service=\"" +
+             escapedLabelValue(it.Service) + "\",kind=\"" +
+             escapedLabelValue(it.Kind) + "\"" +
              (*metric.Label == '\0' ? "" : ",") + metric.Label + "} " +
              value.data() + "\n";
     }
@@ -267,7 +268,7 @@
   auto list = nlohmann::json::array();
   for (std::size_t n = 0; n < series.LatencyBuckets.size(); ++n) {
     if (series.LatencyBuckets[n] > 0) {
-      list.push_back({latencyBucketMs(n), series.LatencyBuckets[n]});
+      list.push_back({latencyBucketBoundMs(n), series.LatencyBuckets[n]});
     }
   }
   return list;
@@ -290,13 +291,13 @@
                    {"latency_max_ms", it.LatencyMaxMs},
                    {"latency_quantiles_ms", it.LatencyQuantilesMs},
                    {"objective", it.Objective},
-                   {"error_budget_spent", it.BudgetSpent},
-                   {"burn_rate_5m", it.BurnShort},
-                   {"burn_rate_1h", it.BurnLong},
-                   {"calls_5m", it.Short.Calls},
-                   {"bad_5m", it.Short.Bad},
-                   {"calls_1h", it.Long.Calls},
-                   {"bad_1h", it.Long.Bad},
+                   {"error_budget_spent", it.ErrorBudgetSpent},
+                   {"burn_rate_5m", it.ShortBurnRate},
+                   {"burn_rate_1h", it.LongBurnRate},
+                   {"calls_5m", it.ShortWindow.Calls},
+                   {"bad_5m", it.ShortWindow.Bad},
+                   {"calls_1h", it.LongWindow.Calls},
+                   {"bad_1h", it.LongWindow.Bad},
                    {"latency_buckets", bucketsJson(it)}});
   }
   // Names come from request paths, so they may not be valid UTF-8.
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -23,17 +23,17 @@
     metrics.record(at(1000 + n), sample("book", n >= 20));
   }
   const auto first = metrics.report(at(1100)).Series.at(0);
-  CHECK(first.BurnShort == Approx(2));
-  CHECK(first.BurnLong == Approx(2));
-  CHECK(first.BudgetSpent == Approx(2));
+  CHECK(first.ShortBurnRate == Approx(2));
+  CHECK(first.LongBurnRate == Approx(2));
+  CHECK(first.ErrorBudgetSpent == Approx(2));
   CHECK(first.WorthOffered == 300);
   CHECK(first.WorthServed == 240);
   CHECK(first.LatencyMeanMs == Approx(28));
   CHECK(first.LatencyQuantilesMs[0] == Approx(10).margin(5));
   const auto later = metrics.report(at(1500)).Series.at(0);
-  CHECK(later.BurnShort == 0);
-  CHECK(later.BurnLong == Approx(2));
-  CHECK(metrics.report(at(6000)).Series.at(0).BurnLong == 0);
+  CHECK(later.ShortBurnRate == 0);
+  CHECK(later.LongBurnRate == Approx(2));
+  CHECK(metrics.report(at(6000)).Series.at(0).LongBurnRate == 0);
 }
 
 // Guards against memory that grows with the number of kinds.
