--- a/src/core/configuration_text.cpp
+++ b/src/core/configuration_text.cpp
@@ -39,7 +39,7 @@
   return era * 146097 + dayOfEra - 719468;
 }
 
-UtcTime utcTime(const toml::offset_datetime &t) {
+UtcTime toUtcTime(const toml::offset_datetime &t) {
   const std::chrono::hours days(
       24 * daysSinceEpoch(t.date.year, t.date.month + 1, t.date.day));
   const auto time =
@@ -53,13 +53,13 @@
 /** Compiles a parsed text: first each section, then the references. */
 class Compiler {
 public:
-  explicit Compiler(const Value &root) : Root(root) {}
+  explicit Compiler(const TomlValue &root) : Root(root) {}
 
   /** @param now if present, move deadlines must be after it. */
-  Result<Configuration> run(const std::optional<UtcTime> &now) {
+  Result<Configuration> compile(const std::optional<UtcTime> &now) {
     Now = now;
-    const auto &top = In.table(Root, "the text", {"fleet", "service"});
-    if (const auto *fleet = In.required(Root, top, "fleet")) {
+    const auto &top = Reader.table(Root, "the text", {"fleet", "service"});
+    if (const auto *fleet = Reader.required(Root, top, "fleet")) {
       readFleet(*fleet);
     }
     if (top.count("service") != 0) {
@@ -67,72 +67,74 @@
     }
     // References are checked only between sections that are valid, since one
     // wrong section would cause misleading errors in others.
-    if (!In.failed()) {
+    if (!Reader.failed()) {
       checkFleet();
       for (const auto &it : Config.Services) {
         checkService(it.second, top.at("service").as_table().at(it.first));
       }
-      checkDepth();
+      checkDependencyChains();
     }
-    if (In.failed()) {
-      return In.reason();
+    if (Reader.failed()) {
+      return Reader.reason();
     }
     return Config;
   }
 
 private:
-  void readFleet(const Value &value) {
-    const auto &t = In.table(value, "fleet", {"data_centres", "taken_out"});
-    constexpr auto most = ConfigurationLimits::MaxDataCentres;
-    if (const auto *list = In.required(value, t, "data_centres")) {
-      Config.FleetSettings.DataCentres = In.names(*list, most);
+  void readFleet(const TomlValue &value) {
+    const auto &t = Reader.table(value, "fleet", {"data_centres", "taken_out"});
+    constexpr auto maxCount = ConfigurationLimits::MaxDataCentres;
+    if (const auto *list = Reader.required(value, t, "data_centres")) {
+      Config.FleetSettings.DataCentres = Reader.names(*list, maxCount);
       if (Config.FleetSettings.DataCentres.empty()) {
-        In.fail(*list, "expected at least one data centre");
+        Reader.fail(*list, "expected at least one data centre");
       }
     }
     if (t.count("taken_out") != 0) {
-      Config.FleetSettings.TakenOut = In.names(t.at("taken_out"), most);
+      Config.FleetSettings.TakenOut = Reader.names(t.at("taken_out"), maxCount);
     }
   }
 
-  void readServices(const Value &value) {
-    const auto &t = In.anyTable(value, "service");
+  void readServices(const TomlValue &value) {
+    const auto &t = Reader.anyTable(value, "service");
     if (t.size() > ConfigurationLimits::MaxServices) {
-      In.fail(value, "expected at most " +
-                         std::to_string(ConfigurationLimits::MaxServices) +
-                         " services");
+      Reader.fail(value, "expected at most " +
+                             std::to_string(ConfigurationLimits::MaxServices) +
+                             " services");
       return;
     }
     for (const auto &it : t) {
       if (!isName(it.first)) {
-        In.fail(it.second, std::string("expected ") + Reader::NameExpected +
-                               " for the service, got " + quotedText(it.first));
+        Reader.fail(it.second,
+                    std::string("expected ") + TomlReader::NameExpected +
+                        " for the service, got " + quotedText(it.first));
       }
       Config.Services[it.first] = readService(it.first, it.second);
     }
   }
 
-  Service readService(const std::string &name, const Value &value) {
+  Service readService(const std::string &name, const TomlValue &value) {
     Service s;
     s.Name = name;
     const auto &t =
-        In.table(value, "service " + quotedText(name),
-                 {"depends_on", "versions", "current", "slots", "connections",
-                  "queue", "cold_slots", "route", "move"});
+        Reader.table(value, "service " + quotedText(name),
+                     {"depends_on", "versions", "current", "slots",
+                      "connections", "queue", "cold_slots", "route", "move"});
     if (t.count("depends_on") != 0) {
       s.DependsOn =
-          In.names(t.at("depends_on"), ConfigurationLimits::MaxServices);
+          Reader.names(t.at("depends_on"), ConfigurationLimits::MaxServices);
     }
-    if (const auto *list = In.required(value, t, "versions")) {
-      s.Versions = In.names(*list, ConfigurationLimits::MaxVersionsPerService);
+    if (const auto *list = Reader.required(value, t, "versions")) {
+      s.Versions =
+          Reader.names(*list, ConfigurationLimits::MaxVersionsPerService);
     }
-    if (const auto *current = In.required(value, t, "current")) {
-      s.CurrentVersion = In.name(*current);
+    if (const auto *current = Reader.required(value, t, "current")) {
+      s.CurrentVersion = Reader.name(*current);
     }
-    In.number(t, "slots", MaxLimit, s.Limits.Slots);
-    In.number(t, "connections", MaxLimit, s.Limits.Connections);
-    In.number(t, "queue", MaxLimit, s.Limits.Queue);
-    In.number(t, "cold_slots", MaxLimit, s.Limits.ColdSlots);
+    Reader.number(t, "slots", MaxLimit, s.Limits.Slots);
+    Reader.number(t, "connections", MaxLimit, s.Limits.Connections);
+    Reader.number(t, "queue", MaxLimit, s.Limits.Queue);
+    Reader.number(t, "cold_slots", MaxLimit, s.Limits.ColdSlots);
     if (t.count("route") != 0) {
       readRoutes(t.at("route"), s);
     }
@@ -142,16 +144,16 @@
     return s;
   }
 
-  void readRoutes(const Value &value, Service &service) {
+  void readRoutes(const TomlValue &value, Service &service) {
     if (!value.is_array()) {
-      In.fail(value, "expected [[service.NAME.route]] for each route");
+      Reader.fail(value, "expected [[service.NAME.route]] for each route");
       return;
     }
     const auto &list = value.as_array();
-    constexpr auto most = ConfigurationLimits::MaxRoutesPerService;
-    if (list.size() > most) {
-      In.fail(list[most],
-              "expected at most " + std::to_string(most) + " routes");
+    constexpr auto maxCount = ConfigurationLimits::MaxRoutesPerService;
+    if (list.size() > maxCount) {
+      Reader.fail(list[maxCount],
+                  "expected at most " + std::to_string(maxCount) + " routes");
       return;
     }
     std::set<std::pair<std::string, std::string>> seen;
@@ -162,55 +164,56 @@
       const auto path =
           r.PathPrefix.substr(0, r.PathPrefix.find_last_not_of('/') + 1);
       if (!seen.emplace(r.Method, path).second) {
-        In.fail(it,
-                "duplicate route " + r.Method + " " + quotedText(r.PathPrefix));
+        Reader.fail(it, "duplicate route " + r.Method + " " +
+                            quotedText(r.PathPrefix));
       }
     }
   }
 
-  Route readRoute(const Value &value) {
+  Route readRoute(const TomlValue &value) {
     Route r;
-    const auto &t = In.table(value, "a route",
-                             {"method", "path", "kind", "repeatable", "worth",
-                              "timeout_ms", "objective"});
-    if (const auto *method = In.required(value, t, "method")) {
-      r.Method = In.text(*method, isMethod, "an upper-case HTTP method");
+    const auto &t = Reader.table(value, "a route",
+                                 {"method", "path", "kind", "repeatable",
+                                  "worth", "timeout_ms", "objective"});
+    if (const auto *method = Reader.required(value, t, "method")) {
+      r.Method = Reader.text(*method, isMethod, "an upper-case HTTP method");
     }
-    if (const auto *path = In.required(value, t, "path")) {
+    if (const auto *path = Reader.required(value, t, "path")) {
       r.PathPrefix =
-          In.text(*path, isPath,
-                  "a path that starts with '/', of up to 1024 printable "
-                  "characters without '?' and '#'");
+          Reader.text(*path, isPath,
+                      "a path that starts with '/', of up to 1024 printable "
+                      "characters without '?' and '#'");
     }
-    if (const auto *kind = In.required(value, t, "kind")) {
-      r.Kind = In.name(*kind);
+    if (const auto *kind = Reader.required(value, t, "kind")) {
+      r.Kind = Reader.name(*kind);
     }
     if (t.count("repeatable") != 0) {
       const auto &flag = t.at("repeatable");
       if (flag.is_boolean()) {
         r.Repeatable = flag.as_boolean();
       } else {
-        In.fail(flag, "expected true or false for repeatable");
+        Reader.fail(flag, "expected true or false for repeatable");
       }
     }
-    In.number(t, "worth", MaxLimit, r.Worth);
-    In.number(t, "timeout_ms", MaxRouteTimeoutMs, r.TimeoutMs);
-    In.fraction(t, "objective", r.Objective);
+    Reader.number(t, "worth", MaxLimit, r.Worth);
+    Reader.number(t, "timeout_ms", MaxRouteTimeoutMs, r.TimeoutMs);
+    Reader.fraction(t, "objective", r.Objective);
     return r;
   }
 
-  MoveRequest readMove(const Value &value) {
+  MoveRequest readMove(const TomlValue &value) {
     MoveRequest m;
-    const auto &t = In.table(value, "move", {"to", "deadline"});
-    if (const auto *to = In.required(value, t, "to")) {
-      m.ToVersion = In.name(*to);
+    const auto &t = Reader.table(value, "move", {"to", "deadline"});
+    if (const auto *toVersion = Reader.required(value, t, "to")) {
+      m.ToVersion = Reader.name(*toVersion);
     }
-    if (const auto *deadline = In.required(value, t, "deadline")) {
+    if (const auto *deadline = Reader.required(value, t, "deadline")) {
       if (deadline->is_offset_datetime()) {
-        m.Deadline = utcTime(deadline->as_offset_datetime());
+        m.Deadline = toUtcTime(deadline->as_offset_datetime());
       } else {
-        In.fail(*deadline, "expected a date and time with UTC offset, such as "
-                           "2026-12-04T17:00:00+01:00");
+        Reader.fail(*deadline,
+                    "expected a date and time with UTC offset, such as "
+                    "2026-12-04T17:00:00+01:00");
       }
     }
     return m;
@@ -221,94 +224,97 @@
     for (std::size_t n = 0; n < Config.FleetSettings.TakenOut.size(); ++n) {
       const auto &name = Config.FleetSettings.TakenOut[n];
       if (std::find(known.begin(), known.end(), name) == known.end()) {
-        In.fail(Root.as_table()
-                    .at("fleet")
-                    .as_table()
-                    .at("taken_out")
-                    .as_array()[n],
-                "expected a data centre of data_centres, got " +
-                    quotedText(name));
+        Reader.fail(Root.as_table()
+                        .at("fleet")
+                        .as_table()
+                        .at("taken_out")
+                        .as_array()[n],
+                    "expected a data centre of data_centres, got " +
+                        quotedText(name));
       }
     }
   }
 
-  void checkService(const Service &s, const Value &value) {
+  void checkService(const Service &s, const TomlValue &value) {
     const auto &t = value.as_table();
     for (std::size_t n = 0; n < s.DependsOn.size(); ++n) {
       if (Config.service(s.DependsOn[n]) == nullptr) {
-        In.fail(t.at("depends_on").as_array()[n],
-                "expected a service of this text, got " +
-                    quotedText(s.DependsOn[n]));
+        Reader.fail(t.at("depends_on").as_array()[n],
+                    "expected a service of this text, got " +
+                        quotedText(s.DependsOn[n]));
       }
     }
     checkVersion(s, s.CurrentVersion, t.at("current"));
     if (s.Limits.ColdSlots > s.Limits.Slots) {
-      In.fail(t.at(t.count("cold_slots") != 0 ? "cold_slots" : "slots"),
-              "expected cold_slots of at most slots");
+      Reader.fail(t.at(t.count("cold_slots") != 0 ? "cold_slots" : "slots"),
+                  "expected cold_slots of at most slots");
     }
     if (s.Move) {
-      const auto &to = t.at("move").as_table().at("to");
-      checkVersion(s, s.Move->ToVersion, to);
+      const auto &toVersion = t.at("move").as_table().at("to");
+      checkVersion(s, s.Move->ToVersion, toVersion);
       if (s.Move->ToVersion == s.CurrentVersion) {
-        In.fail(to, "expected another version than the current one");
+        Reader.fail(toVersion, "expected another version than the current one");
       }
       if (Now && s.Move->Deadline <= *Now) {
-        In.fail(t.at("move").as_table().at("deadline"),
-                "expected a deadline in the future, it is " + toString(*Now));
+        Reader.fail(t.at("move").as_table().at("deadline"),
+                    "expected a deadline in the future, it is " +
+                        toString(*Now));
       }
     }
   }
 
   void checkVersion(const Service &s, const std::string &version,
-                    const Value &at) {
+                    const TomlValue &at) {
     if (std::find(s.Versions.begin(), s.Versions.end(), version) ==
         s.Versions.end()) {
-      In.fail(at, "expected one of the service's versions, got " +
-                      quotedText(version));
+      Reader.fail(at, "expected one of the service's versions, got " +
+                          quotedText(version));
     }
   }
 
-  void checkDepth() {
-    std::map<std::string, int> depths;
+  void checkDependencyChains() {
+    std::map<std::string, int> chainLengths;
     for (const auto &it : Config.Services) {
-      if (In.failed()) {
+      if (Reader.failed()) {
         return;
       }
-      depth(it.second, depths);
+      chainLength(it.second, chainLengths);
     }
   }
 
   /** @return services in the longest chain that starts at @p s. Recursion is
    * bounded by MaxServices, since a cycle ends it. */
-  int depth(const Service &s, std::map<std::string, int> &depths) {
-    const auto known = depths.find(s.Name);
-    if (known != depths.end()) {
+  int chainLength(const Service &s, std::map<std::string, int> &chainLengths) {
+    const auto known = chainLengths.find(s.Name);
+    if (known != chainLengths.end()) {
       return known->second;
     }
     int longest = 1;
-    for (std::size_t n = 0; n < s.DependsOn.size() && !In.failed(); ++n) {
-      Chain.push_back(s.Name);
+    for (std::size_t n = 0; n < s.DependsOn.size() && !Reader.failed(); ++n) {
+      DependencyChain.push_back(s.Name);
       const auto &next = s.DependsOn[n];
-      const auto &at = dependency(s, n);
-      if (std::find(Chain.begin(), Chain.end(), next) != Chain.end()) {
-        In.fail(at, "expected no dependency cycle, but " + quotedText(next) +
-                        " depends on " + quotedText(s.Name));
+      const auto &at = dependencyValue(s, n);
+      if (std::find(DependencyChain.begin(), DependencyChain.end(), next) !=
+          DependencyChain.end()) {
+        Reader.fail(at, "expected no dependency cycle, but " +
+                            quotedText(next) + " depends on " +
+                            quotedText(s.Name));
       } else {
-        longest =
-            std::max(longest, 1 + depth(Config.Services.at(next), depths));
+        longest = std::max(
+            longest, 1 + chainLength(Config.Services.at(next), chainLengths));
         if (longest > ConfigurationLimits::MaxDepth) {
-          In.fail(at, "expected dependency chains of at most " +
-                          std::to_string(ConfigurationLimits::MaxDepth) +
-                          " services");
+          Reader.fail(at, "expected dependency chains of at most " +
+                              std::to_string(ConfigurationLimits::MaxDepth) +
+                              " services");
         }
       }
-      Chain.pop_back();
+      DependencyChain.pop_back();
     }
-    depths[s.Name] = longest;
+    chainLengths[s.Name] = longest;
     return longest;
   }
 
-  const Value &dependency(const Service &s, std::size_t n) const {
+  const TomlValue &dependencyValue(const Service &s, std::size_t n) const {
     return Root.as_table()
         .at("service")
         .as_table()
@@ -318,12 +324,12 @@
         .as_array()[n];
   }
 
-  const Value &Root;
-  Reader In;
+  const TomlValue &Root;
+  TomlReader Reader;
   Configuration Config;
   std::optional<UtcTime> Now;
   /** Services from the start of the dependency chain to the one visited. */
-  std::vector<std::string> Chain;
+  std::vector<std::string> DependencyChain;
 };
 
 Result<Configuration> compile(std::string_view text,
@@ -335,17 +341,17 @@
                       " bytes",
                   1, 1};
   }
-  const auto scanned = scanText(text);
-  if (!scanned) {
-    return scanned.reason();
+  const auto validated = validateText(text);
+  if (!validated) {
+    return validated.reason();
   }
   try {
     std::istringstream in{std::string(text)};
     const auto root =
         toml::parse<toml::discard_comments, std::map, std::vector>(in, "text");
-    return Compiler(root).run(now);
+    return Compiler(root).compile(now);
   } catch (const std::exception &e) {
-    return syntaxReason(text, e.what());
+    return syntaxErrorReason(text, e.what());
   }
 }
 
--- a/src/core/text_reader.h
+++ b/src/core/text_reader.h
@@ -21,9 +21,10 @@
 namespace chivefold {
 
 /** Ordered tables give the same first error on every run. */
-using Value = toml::basic_value<toml::discard_comments, std::map, std::vector>;
+using TomlValue =
+    toml::basic_value<toml::discard_comments, std::map, std::vector>;
 
-inline Reason reasonAt(const Value &at, std::string message) {
+inline Reason reasonAt(const TomlValue &at, std::string message) {
   const auto place = at.location();
   return {ErrorCode::InvalidText, std::move(message),
           static_cast<int>(place.line()), static_cast<int>(place.column())};
@@ -42,20 +43,21 @@
  * Reads typed values and keeps the first error. Readers go on after an error
  * with a default, so that callers need no check after each value.
  */
-class Reader {
+class TomlReader {
 public:
-  bool failed() const { return First.has_value(); }
-  const Reason &reason() const { return *First; }
+  bool failed() const { return FirstError.has_value(); }
+  const Reason &reason() const { return *FirstError; }
 
-  void fail(const Value &at, std::string message) {
-    if (!First) {
-      First = reasonAt(at, std::move(message));
+  void fail(const TomlValue &at, std::string message) {
+    if (!FirstError) {
+      FirstError = reasonAt(at, std::move(message));
     }
   }
 
   /** @return the table, or an empty one. Refuses other keys than @p keys. */
-  const Value::table_type &table(const Value &value, const std::string &what,
-                                 std::initializer_list<std::string_view> keys) {
+  const TomlValue::table_type &
+  table(const TomlValue &value, const std::string &what,
+        std::initializer_list<std::string_view> keys) {
     const auto &t = anyTable(value, what);
     for (const auto &it : t) {
       if (std::find(keys.begin(), keys.end(), it.first) == keys.end()) {
@@ -74,9 +76,9 @@
     return t;
   }
 
-  const Value::table_type &anyTable(const Value &value,
-                                    const std::string &what) {
-    static const Value::table_type none;
+  const TomlValue::table_type &anyTable(const TomlValue &value,
+                                        const std::string &what) {
+    static const TomlValue::table_type none;
     if (!value.is_table()) {
       fail(value, "expected a table for " + what);
       return none;
@@ -85,72 +87,75 @@
   }
 
   /** @return the value of a key that must exist, or nullptr. */
-  const Value *required(const Value &in, const Value::table_type &t,
-                        const char *key) {
+  const TomlValue *required(const TomlValue &parent,
+                            const TomlValue::table_type &t, const char *key) {
     const auto it = t.find(key);
     if (it == t.end()) {
-      fail(in, std::string("expected a key '") + key + "' in this table");
+      fail(parent, std::string("expected a key '") + key + "' in this table");
       return nullptr;
     }
     return &it->second;
   }
 
-  std::string text(const Value &value, bool (*good)(std::string_view),
+  std::string text(const TomlValue &value, bool (*isValid)(std::string_view),
                    const char *expected) {
     if (!value.is_string()) {
       fail(value, std::string("expected a string: ") + expected);
       return {};
     }
     const auto &s = value.as_string().str;
-    if (!good(s)) {
+    if (!isValid(s)) {
       fail(value,
            std::string("expected ") + expected + ", got " + quotedText(s));
     }
     return s;
   }
 
-  std::string name(const Value &value) {
+  std::string name(const TomlValue &value) {
     return text(value, isName, NameExpected);
   }
 
-  std::vector<std::string> names(const Value &value, std::size_t most) {
-    std::vector<std::string> all;
+  std::vector<std::string> names(const TomlValue &value, std::size_t maxCount) {
+    std::vector<std::string> result;
     if (!value.is_array()) {
       fail(value, "expected an array of names");
-      return all;
+      return result;
     }
     const auto &list = value.as_array();
-    if (list.size() > most) {
-      fail(list[most], "expected at most " + std::to_string(most) + " names");
-      return all;
+    if (list.size() > maxCount) {
+      fail(list[maxCount],
+           "expected at most " + std::to_string(maxCount) + " names");
+      return result;
     }
     for (const auto &it : list) {
-      all.push_back(name(it));
-      if (std::find(all.begin(), all.end() - 1, all.back()) != all.end() - 1) {
-        fail(it, "duplicate name " + quotedText(all.back()));
+      result.push_back(name(it));
+      if (std::find(result.begin(), result.end() - 1, result.back()) !=
+          result.end() - 1) {
+        fail(it, "duplicate name " + quotedText(result.back()));
       }
     }
-    return all;
+    return result;
   }
 
-  void number(const Value::table_type &t, const char *key, std::uint32_t most,
-              std::uint32_t &to) {
+  void number(const TomlValue::table_type &t, const char *key,
+              std::uint32_t maximum, std::uint32_t &target) {
     const auto it = t.find(key);
     if (it == t.end()) {
       return;
     }
     const auto &value = it->second;
     if (!value.is_integer() || value.as_integer() < 1 ||
-        value.as_integer() > most) {
+        value.as_integer() > maximum) {
       fail(value, std::string("expected a whole number from 1 to ") +
-                      std::to_string(most) + " for " + key);
+                      std::to_string(maximum) + " for " + key);
       return;
     }
-    to = static_cast<std::uint32_t>(value.as_integer());
+    target = static_cast<std::uint32_t>(value.as_integer());
   }
 
   /** Reads an optional number above 0 and below 1. */
-  void fraction(const Value::table_type &t, const char *key, double &to) {
+  void fraction(const TomlValue::table_type &t, const char *key,
+                double &target) {
     const auto it = t.find(key);
     if (it == t.end()) {
       return;
@@ -163,14 +168,14 @@
            std::string("expected a number above 0 and below 1 for ") + key);
       return;
     }
-    to = value.as_floating();
+    target = value.as_floating();
   }
 
   static constexpr const char *NameExpected =
       "a name of 1 to 64 letters, digits, '.', '_' or '-'";
 
 private:
-  std::optional<Reason> First;
+  std::optional<Reason> FirstError;
 };
 
 } // namespace chivefold
--- a/src/core/text_scan.cpp
+++ b/src/core/text_scan.cpp
@@ -15,31 +15,35 @@
 /** @return length of the UTF-8 sequence at the start of @p text, 0 if it is
  * invalid (overlong, surrogate, out of range or cut off). */
 std::size_t utf8Length(std::string_view text) {
-  const auto at = [&](std::size_t n) {
+  const auto byteAt = [&](std::size_t n) {
     return n < text.size() ? static_cast<unsigned char>(text[n]) : 0U;
   };
-  const auto tail = [&](std::size_t n) { return (at(n) & 0xC0U) == 0x80U; };
-  const auto lead = at(0);
-  if (lead < 0x80U) {
+  const auto isContinuation = [&](std::size_t n) {
+    return (byteAt(n) & 0xC0U) == 0x80U;
+  };
+  const auto leadByte = byteAt(0);
+  if (leadByte < 0x80U) {
     return 1;
   }
-  if (lead >= 0xC2U && lead <= 0xDFU && tail(1)) {
+  if (leadByte >= 0xC2U && leadByte <= 0xDFU && isContinuation(1)) {
     return 2;
   }
-  if (lead >= 0xE0U && lead <= 0xEFU && tail(1) && tail(2)) {
-    const bool overlong = lead == 0xE0U && at(1) < 0xA0U;
-    const bool surrogate = lead == 0xEDU && at(1) >= 0xA0U;
+  if (leadByte >= 0xE0U && leadByte <= 0xEFU && isContinuation(1) &&
+      isContinuation(2)) {
+    const bool overlong = leadByte == 0xE0U && byteAt(1) < 0xA0U;
+    const bool surrogate = leadByte == 0xEDU && byteAt(1) >= 0xA0U;
     return overlong || surrogate ? 0 : 3;
   }
-  if (lead >= 0xF0U && lead <= 0xF4U && tail(1) && tail(2) && tail(3)) {
-    const bool overlong = lead == 0xF0U && at(1) < 0x90U;
-    const bool beyond = lead == 0xF4U && at(1) >= 0x90U;
-    return overlong || beyond ? 0 : 4;
+  if (leadByte >= 0xF0U && leadByte <= 0xF4U && isContinuation(1) &&
+      isContinuation(2) && isContinuation(3)) {
+    const bool overlong = leadByte == 0xF0U && byteAt(1) < 0x90U;
+    const bool outOfRange = leadByte == 0xF4U && byteAt(1) >= 0x90U;
+    return overlong || outOfRange ? 0 : 4;
   }
   return 0;
 }
 
-Status scanBytes(std::string_view text) {
+Status validateCharacters(std::string_view text) {
   for (std::size_t pos = 0; pos < text.size();) {
     const auto n = utf8Length(text.substr(pos));
     if (n == 0) {
@@ -57,32 +61,33 @@
 
 /** Follows strings and comments, which end at the latest with their line, so
  * that only brackets and dots of the syntax are counted. */
-class NestingScan {
+class NestingScanner {
 public:
-  explicit NestingScan(std::string_view text) : Text(text) {}
+  explicit NestingScanner(std::string_view text) : Text(text) {}
 
   Status run() {
     for (std::size_t pos = 0; pos < Text.size(); ++pos) {
       const char c = Text[pos];
       if (c == '\n') {
-        Mode = '\0';
+        OpenDelimiter = '\0';
         Dots = 0;
-      } else if (Mode == '\0') {
-        const auto *problem = syntax(pos);
-        if (problem != nullptr) {
-          return reasonAt(Text, pos, problem);
+      } else if (OpenDelimiter == '\0') {
+        const auto *error = scanSyntaxCharacter(pos);
+        if (error != nullptr) {
+          return reasonAt(Text, pos, error);
         }
-      } else if (Mode == '"' && c == '\\' && Text.substr(pos + 1, 1) != "\n") {
+      } else if (OpenDelimiter == '"' && c == '\\' &&
+                 Text.substr(pos + 1, 1) != "\n") {
         ++pos;
-      } else if (Mode != '#' && c == Mode) {
-        Mode = '\0';
+      } else if (OpenDelimiter != '#' && c == OpenDelimiter) {
+        OpenDelimiter = '\0';
       }
     }
     return Done{};
   }
 
 private:
-  const char *syntax(std::size_t pos) {
+  const char *scanSyntaxCharacter(std::size_t pos) {
     const char c = Text[pos];
     if (c == '"' || c == '\'') {
       const auto next = Text.substr(pos, 3);
@@ -91,7 +96,7 @@
       }
     }
     if (c == '"' || c == '\'' || c == '#') {
-      Mode = c;
+      OpenDelimiter = c;
     } else if (c == '[' || c == '{') {
       ++Depth;
     } else if (c == ']' || c == '}') {
@@ -108,7 +113,7 @@
 
   std::string_view Text;
   /** The quote or '#' of the string or comment at this place, or 0. */
-  char Mode = '\0';
+  char OpenDelimiter = '\0';
   int Depth = 0;
   int Dots = 0;
 };
@@ -119,40 +124,41 @@
 
 /** The last marked place in a toml11 message, whose rows are " N | source"
  * followed by "   | ^--- comment". */
-struct Mark {
+struct ErrorMarker {
   int Line = 1;
   std::size_t Column = 0;
   std::string_view Source;
   std::string_view Comment;
 };
 
-Mark lastMark(std::string_view what) {
-  Mark mark;
+ErrorMarker lastErrorMarker(std::string_view parserMessage) {
+  ErrorMarker marker;
   std::string_view previous;
-  while (!what.empty()) {
-    const auto row = firstLine(what);
-    what.remove_prefix(std::min(what.size(), row.size() + 1));
-    const auto bar = row.find(" | ");
-    const auto sign = bar == std::string_view::npos
-                          ? std::string_view::npos
-                          : row.find_first_not_of(' ', bar + 3);
-    const auto isMark = sign != std::string_view::npos &&
-                        row.find_first_not_of(' ') == bar + 1 &&
-                        (row[sign] == '^' || row[sign] == '~');
+  while (!parserMessage.empty()) {
+    const auto row = firstLine(parserMessage);
+    parserMessage.remove_prefix(std::min(parserMessage.size(), row.size() + 1));
+    const auto separator = row.find(" | ");
+    const auto markerStart = separator == std::string_view::npos
+                                 ? std::string_view::npos
+                                 : row.find_first_not_of(' ', separator + 3);
+    const auto isMarkerRow =
+        markerStart != std::string_view::npos &&
+        row.find_first_not_of(' ') == separator + 1 &&
+        (row[markerStart] == '^' || row[markerStart] == '~');
     const auto digit = previous.find_first_not_of(' ');
-    if (isMark && digit != std::string_view::npos &&
+    if (isMarkerRow && digit != std::string_view::npos &&
         std::from_chars(previous.data() + digit,
-                        previous.data() + previous.size(), mark.Line)
+                        previous.data() + previous.size(), marker.Line)
                 .ec == std::errc()) {
-      mark.Column = sign - bar - 3;
-      mark.Source = previous.substr(std::min(previous.size(), bar + 3));
-      const auto comment = row.find_first_not_of("^~- ", sign);
-      mark.Comment = comment == std::string_view::npos ? std::string_view()
-                                                       : row.substr(comment);
+      marker.Column = markerStart - separator - 3;
+      marker.Source = previous.substr(std::min(previous.size(), separator + 3));
+      const auto comment = row.find_first_not_of("^~- ", markerStart);
+      marker.Comment = comment == std::string_view::npos ? std::string_view()
+                                                         : row.substr(comment);
     }
     previous = row;
   }
-  return mark;
+  return marker;
 }
 
 std::size_t lineStart(std::string_view text, int line) {
@@ -188,34 +194,35 @@
   return s;
 }
 
-Status scanText(std::string_view text) {
-  auto status = scanBytes(text);
-  return status ? NestingScan(text).run() : status;
+Status validateText(std::string_view text) {
+  auto status = validateCharacters(text);
+  return status ? NestingScanner(text).run() : status;
 }
 
-Reason syntaxReason(std::string_view text, std::string_view what) {
+Reason syntaxErrorReason(std::string_view text,
+                         std::string_view parserMessage) {
   constexpr std::string_view prefix = "[error] ";
-  auto cause = firstLine(what);
-  if (cause.substr(0, prefix.size()) == prefix) {
-    cause.remove_prefix(prefix.size());
+  auto description = firstLine(parserMessage);
+  if (description.substr(0, prefix.size()) == prefix) {
+    description.remove_prefix(prefix.size());
   }
-  if (cause.substr(0, 6) == "toml::") {
-    const auto end = cause.find(": ");
-    cause.remove_prefix(end == std::string_view::npos ? 6 : end + 2);
+  if (description.substr(0, 6) == "toml::") {
+    const auto end = description.find(": ");
+    description.remove_prefix(end == std::string_view::npos ? 6 : end + 2);
   }
-  std::string message(cause);
-  const auto mark = lastMark(what);
-  if (!mark.Comment.empty()) {
-    message += " (" + std::string(mark.Comment) + ")";
+  std::string message(description);
+  const auto marker = lastErrorMarker(parserMessage);
+  if (!marker.Comment.empty()) {
+    message += " (" + std::string(marker.Comment) + ")";
   }
   // toml11 counts lines of a bad date from the date itself, so its source row
   // is looked up if it is not the start of the stated line.
-  auto start = lineStart(text, mark.Line);
-  if (text.substr(start, mark.Source.size()) != mark.Source) {
-    const auto found = text.find(mark.Source);
+  auto start = lineStart(text, marker.Line);
+  if (text.substr(start, marker.Source.size()) != marker.Source) {
+    const auto found = text.find(marker.Source);
     start = found == std::string_view::npos ? start : found;
   }
-  return reasonAt(text, std::min(text.size(), start + mark.Column),
+  return reasonAt(text, std::min(text.size(), start + marker.Column),
                   std::move(message));
 }
 
--- a/src/core/text_scan.h
+++ b/src/core/text_scan.h
@@ -25,10 +25,10 @@
  * characters, strings over several lines, and nesting or dotted keys so deep
  * that its recursion could exhaust the stack.
  */
-Status scanText(std::string_view text);
+Status validateText(std::string_view text);
 
 /** @return the place and cause in the message of a toml11 syntax error. */
-Reason syntaxReason(std::string_view text, std::string_view what);
+Reason syntaxErrorReason(std::string_view text, std::string_view parserMessage);
 
 } // namespace chivefold
 
