--- a/src/core/configuration.cpp
+++ b/src/core/configuration.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /** @return @p path without query and trailing slash; "/" becomes empty. */
-std::string_view segments(std::string_view path) {
+std::string_view withoutQueryAndTrailingSlash(std::string_view path) {
   path = path.substr(0, path.find('?'));
   while (!path.empty() && path.back() == '/') {
     path.remove_suffix(1);
@@ -14,7 +14,7 @@
   return path;
 }
 
-bool matches(std::string_view prefix, std::string_view path) {
+bool isPathPrefix(std::string_view prefix, std::string_view path) {
   return path.substr(0, prefix.size()) == prefix &&
          (path.size() == prefix.size() || path[prefix.size()] == '/');
 }
@@ -55,12 +55,12 @@
 
 const Route *findRoute(const Service &service, std::string_view method,
                        std::string_view path) {
-  const auto wanted = segments(path);
+  const auto requestPath = withoutQueryAndTrailingSlash(path);
   const Route *best = nullptr;
   std::size_t bestSize = 0;
   for (const auto &it : service.Routes) {
-    const auto prefix = segments(it.PathPrefix);
-    if (it.Method == method && matches(prefix, wanted) &&
+    const auto prefix = withoutQueryAndTrailingSlash(it.PathPrefix);
+    if (it.Method == method && isPathPrefix(prefix, requestPath) &&
         (best == nullptr || prefix.size() > bestSize)) {
       best = &it;
       bestSize = prefix.size();
