--- a/include/chivefold/core/error.h
+++ b/include/chivefold/core/error.h
@@ -68,8 +68,8 @@
 
   /** Holds no value. Precondition: reason.Code is not Ok. */
   Result(Reason reason) // NOLINT(google-explicit-constructor)
-      : LastReason(std::move(reason)) {
-    assert(LastReason.Code != ErrorCode::Ok);
+      : FailureReason(std::move(reason)) {
+    assert(FailureReason.Code != ErrorCode::Ok);
   }
 
   explicit operator bool() const { return Value.has_value(); }
@@ -82,11 +82,11 @@
   const T *operator->() const { return &*Value; }
 
   /** @return the reason for the missing value; Code is Ok if there is one. */
-  const Reason &reason() const { return LastReason; }
+  const Reason &reason() const { return FailureReason; }
 
 private:
   std::optional<T> Value;
-  Reason LastReason;
+  Reason FailureReason;
 };
 
 /** The value of a Result that carries no data. */
