--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -15,7 +15,7 @@
     {Outcome::Unknown, "unknown"},
 }}};
 
-bool isIpNumber(const std::string &ip) {
+bool isIpAddress(const std::string &ip) {
   std::array<unsigned char, sizeof(in6_addr)> buf{};
   return inet_pton(AF_INET, ip.c_str(), buf.data()) == 1 ||
          inet_pton(AF_INET6, ip.c_str(), buf.data()) == 1;
@@ -52,7 +52,7 @@
   Address a{std::string(ip), 0};
   const auto *end = port.data() + port.size();
   const auto parsed = std::from_chars(port.data(), end, a.Port);
-  if (parsed.ec != std::errc() || parsed.ptr != end || !isIpNumber(a.Ip)) {
+  if (parsed.ec != std::errc() || parsed.ptr != end || !isIpAddress(a.Ip)) {
     return std::nullopt;
   }
   return a;
