--- a/src/core/verdict.cpp
+++ b/src/core/verdict.cpp
@@ -18,7 +18,7 @@
     {VerdictKind::AlreadyApplied, "already-applied"},
 }}};
 
-std::uint64_t hashOf(const VerdictHistory::Entry &e) {
+std::uint64_t hashEntry(const VerdictHistory::Entry &e) {
   const std::uint64_t words[] = {raw(e.Value.Offset), raw(e.Value.WinnerOffset),
                                  static_cast<std::uint64_t>(e.Value.Kind)};
   auto h = hash64({reinterpret_cast<const char *>(words), sizeof words});
@@ -48,14 +48,14 @@
 
 void VerdictHistory::add(const RecordId &id, Verdict verdict) {
   if (Entries.size() == MaxEntries) {
-    Digest -= hashOf(Entries.front());
+    Digest -= hashEntry(Entries.front());
     Index.erase(Entries.front().Id);
     Entries.pop_front();
     ++Dropped;
   }
   Index.emplace(id, Dropped + Entries.size());
   Entries.push_back({id, std::move(verdict)});
-  Digest += hashOf(Entries.back());
+  Digest += hashEntry(Entries.back());
 }
 
 } // namespace chivefold
