--- a/include/chivefold/core/safe_steps.h
+++ b/include/chivefold/core/safe_steps.h
@@ -79,7 +79,7 @@
   std::size_t size() const { return TakeBacks.size() + TakeOuts.size(); }
 
 private:
-  bool superseded(const SafeStep &step) const;
+  bool isSuperseded(const SafeStep &step) const;
 
   const ControlState &State;
   std::map<std::string, SafeStep, std::less<>> TakeBacks;
--- a/src/core/safe_steps.cpp
+++ b/src/core/safe_steps.cpp
@@ -12,9 +12,10 @@
     {SafeStepKind::TakeOut, "take-out"},
 }}};
 
-template <class Map, class Drop> void eraseIf(Map &map, const Drop &drop) {
+template <class Map, class Predicate>
+void eraseIf(Map &map, const Predicate &predicate) {
   for (auto it = map.begin(); it != map.end();) {
-    it = drop(it->second) ? map.erase(it) : std::next(it);
+    it = predicate(it->second) ? map.erase(it) : std::next(it);
   }
 }
 
@@ -28,7 +29,7 @@
   return SafeStepNames.value(name);
 }
 
-bool SafeSteps::superseded(const SafeStep &step) const {
+bool SafeSteps::isSuperseded(const SafeStep &step) const {
   if (step.Kind == SafeStepKind::TakeOut) {
     const auto *dc = State.dataCentre(step.Subject);
     return dc != nullptr && dc->Offset > step.AfterOffset;
@@ -45,7 +46,7 @@
     return false;
   }
   step.Reason.resize(std::min(step.Reason.size(), MaxReasonBytes));
-  if (superseded(step)) {
+  if (isSuperseded(step)) {
     return false;
   }
   auto &steps = step.Kind == SafeStepKind::TakeBack ? TakeBacks : TakeOuts;
@@ -67,9 +68,9 @@
 }
 
 void SafeSteps::prune() {
-  const auto old = [&](const SafeStep &s) { return superseded(s); };
-  eraseIf(TakeBacks, old);
-  eraseIf(TakeOuts, old);
+  const auto obsolete = [&](const SafeStep &s) { return isSuperseded(s); };
+  eraseIf(TakeBacks, obsolete);
+  eraseIf(TakeOuts, obsolete);
 }
 
 std::uint32_t SafeSteps::shareOf(std::string_view service) const {
@@ -85,7 +86,7 @@
 bool SafeSteps::isTakenOut(std::string_view dataCentre) const {
   const auto it = TakeOuts.find(dataCentre);
   return State.takenOut(dataCentre) ||
-         (it != TakeOuts.end() && !superseded(it->second));
+         (it != TakeOuts.end() && !isSuperseded(it->second));
 }
 
 std::vector<SafeStep> SafeSteps::steps() const {
