--- a/include/chivefold/core/enum_names.h
+++ b/include/chivefold/core/enum_names.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Tables of names for enumerations, used for parsing, printing and logging.
+ * Tables that map enumerators to their names in text, output and logs.
  */
 #ifndef CHIVEFOLD_CORE_ENUM_NAMES_H
 #define CHIVEFOLD_CORE_ENUM_NAMES_H
@@ -13,11 +13,13 @@
 
 namespace chivefold {
 
-/** Maps the N constants of E to names and back. Immutable and thread-safe. */
+/** Maps the N enumerators of E to names and back. Immutable and thread-safe.
+ */
 template <class E, std::size_t N> struct EnumNames {
   std::array<std::pair<E, std::string_view>, N> Entries;
 
-  /** @return the name of @p e, or "unknown" if the table lacks it. */
+  /** @return the name of @p e, or "unknown" if the table does not contain it.
+   */
   constexpr std::string_view name(E e) const {
     for (const auto &it : Entries) {
       if (it.first == e) {
@@ -27,7 +29,7 @@
     return "unknown";
   }
 
-  /** @return the constant named @p name, if there is one. */
+  /** @return the enumerator named @p name, if there is one. */
   constexpr std::optional<E> value(std::string_view name) const {
     for (const auto &it : Entries) {
       if (it.second == name) {
