--- a/include/chivefold/core/error.h
+++ b/include/chivefold/core/error.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Error codes, their names, and results that carry the reason of a failure.
+ * Error codes, their names, and a result type that holds a value or an error.
  */
 #ifndef CHIVEFOLD_CORE_ERROR_H
 #define CHIVEFOLD_CORE_ERROR_H
@@ -13,7 +13,7 @@
 
 namespace chivefold {
 
-/** Every kind of failure that crosses a module boundary. */
+/** Kinds of failure that one module reports to another. */
 enum class ErrorCode {
   Ok,
   InvalidArgument,
@@ -31,19 +31,19 @@
   TooLarge,
   Conflict,
   Quarantined,
-  /** A backend server stated that it did not run a request. */
+  /** A backend server stated that it did not execute a request. */
   Declined,
 };
 
-/** @return the stable lower-case name of @p ec, used in logs and output.
- * Thread-safe. */
+/** @return the lower-case name of @p ec for logs and output. Names do not
+ * change between releases. Thread-safe. */
 std::string_view errorName(ErrorCode ec);
 
 /** @return the code whose name is @p name, if there is one. Thread-safe. */
 std::optional<ErrorCode> errorFromName(std::string_view name);
 
-/** Why an operation failed. Line and Column are 1-based places in a text, or 0.
- */
+/** Why an operation failed. Line and Column give a 1-based position in a text,
+ * or are 0 if the failure has no position. */
 struct Reason {
   ErrorCode Code = ErrorCode::Ok;
   std::string Message;
@@ -51,14 +51,14 @@
   int Column = 0;
 };
 
-/** @return one line: "line L, column C: message" or "message". Thread-safe. */
+/** @return "line L, column C: message", or "message" if the reason has no
+ * position. Thread-safe. */
 std::string toString(const Reason &reason);
 
 /**
- * An optional value with the reason for its absence.
+ * A value, or the reason why there is none.
  *
- * std::optional has no place for a reason, so this type keeps the last one
- * beside it. Not thread-safe.
+ * Unlike std::optional, it stores the reason of a failure. Not thread-safe.
  */
 template <class T> class [[nodiscard]] Result {
 public:
@@ -81,7 +81,7 @@
   T *operator->() { return &*Value; }
   const T *operator->() const { return &*Value; }
 
-  /** @return the reason for the missing value; Code is Ok if there is one. */
+  /** @return why there is no value. Its Code is Ok if there is a value. */
   const Reason &reason() const { return FailureReason; }
 
 private:
@@ -89,10 +89,10 @@
   Reason FailureReason;
 };
 
-/** The value of a Result that carries no data. */
+/** The value of a successful Result that carries no data. */
 struct Done {};
 
-/** Success or a reason. */
+/** Success, or the reason of a failure. */
 using Status = Result<Done>;
 
 } // namespace chivefold
