--- a/include/chivefold/core/metrics.h
+++ b/include/chivefold/core/metrics.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * Counters, latencies and service-level objectives per service and kind.
+ * Call counters, latencies and service-level objectives per service and request
+ * kind.
  */
 #ifndef CHIVEFOLD_CORE_METRICS_H
 #define CHIVEFOLD_CORE_METRICS_H
@@ -20,24 +21,26 @@
 
 namespace chivefold {
 
-/** One finished call as its caller's daemon saw it. */
+/** One finished call, as observed by the daemon of its caller. */
 struct CallSample {
   std::string_view Service;
   std::string_view Kind;
   Outcome Result = Outcome::Unknown;
-  /** Whether it was answered without a server error within its timeout. */
+  /** Whether the call was answered within its timeout and without a server
+   * error. */
   bool Good = false;
   std::uint32_t Worth = 1;
   Duration Latency{};
 };
 
-/** Good and all calls over a window. */
+/** Number of all calls and of bad calls in a time window. */
 struct WindowCounts {
   std::uint64_t Calls = 0;
   std::uint64_t Bad = 0;
 };
 
-/** Figures of one service and kind. Latencies in milliseconds. */
+/** Metrics of one service and request kind. Counters and latencies cover all
+ * calls since the start of the process. */
 struct SeriesReport {
   std::string Service;
   std::string Kind;
@@ -50,42 +53,45 @@
   std::uint64_t WorthServed = 0;
   double LatencyMeanMs = 0;
   double LatencyMaxMs = 0;
-  /** Estimates at MetricsSettings::Quantiles. */
+  /** Estimated latencies at MetricsSettings::Quantiles. */
   std::array<double, 4> LatencyQuantilesMs{};
-  /** Share of calls that are to be good. */
+  /** Target fraction of good calls. */
   double Objective = 0;
-  /** Part of the error budget of all calls so far that is spent; above 1 the
-   * objective is missed. */
+  /** Fraction of the error budget of all calls so far that bad calls have
+   * consumed. Above 1, the objective is missed. */
   double ErrorBudgetSpent = 0;
-  /** Rate of bad calls over the window, divided by the rate that the objective
-   * allows. */
+  /** Fraction of bad calls in the window, divided by the fraction that the
+   * objective allows. */
   double ShortBurnRate = 0;
   double LongBurnRate = 0;
-  /** Counts behind the burn rates; unlike rates, those of several daemons can
-   * be added. */
+  /** Counts from which the burn rates are computed. Unlike rates, the counts of
+   * several daemons can be added. */
   WindowCounts ShortWindow;
   WindowCounts LongWindow;
-  /** Calls by latency, see latencyBucketMs(). Quantiles of several daemons can
-   * not be merged, these counts can. */
+  /** Calls by latency, see latencyBucketBoundMs(). Unlike quantiles, these
+   * counts can be merged across daemons. */
   std::array<std::uint64_t, 70> LatencyBuckets{};
 };
 
-/** @return upper bound in milliseconds of a latency bucket. Bounds grow by a
- * third of an octave (26%) from 0.125 ms; the last one, 1,049 s, is above the
- * longest timeout and takes everything beyond it. Thread-safe. */
+/** @return the upper bound of a latency bucket in milliseconds. Bounds grow by
+ * a third of an octave (26%) from 0.125 ms. The last bound, 1,049 s, is above
+ * the longest timeout; the last bucket also counts all longer latencies.
+ * Thread-safe. */
 double latencyBucketBoundMs(std::size_t bucket);
 
-/** All figures at one instant, ordered by service and kind. */
+/** Metrics of all series at one instant, ordered by service and kind. */
 struct MetricsReport {
   std::vector<SeriesReport> Series;
 };
 
-/** Fixed sizes and the default objective. */
+/** Limits, quantiles, time windows and the default objective. */
 struct MetricsSettings {
-  /** 99.9% of calls answered within their timeout. */
+  /** Objective of kinds without their own: 99.9% of calls are answered within
+   * their timeout. */
   double DefaultObjective = 0.999;
   static constexpr std::size_t MaxSeries = 1024;
-  /** Kinds with an own objective; further ones get the default. */
+  /** Maximum number of kinds with their own objective. Further kinds use the
+   * default. */
   static constexpr std::size_t MaxObjectives = 8192;
   static constexpr std::array<double, 4> Quantiles = {0.5, 0.9, 0.99, 0.999};
   static constexpr std::chrono::minutes ShortWindow{5};
@@ -93,9 +99,9 @@
 };
 
 /**
- * Collects samples with bounded memory: about 5 KiB a series and at most
- * MaxSeries series; samples of further services or kinds are counted in the
- * series "other" of service "other". Not thread-safe.
+ * Aggregates call samples in bounded memory: about 5 KiB per series and at
+ * most MaxSeries series. Samples of further services or kinds are counted in
+ * the series of kind "other" of service "other". Not thread-safe.
  */
 class Metrics {
 public:
@@ -104,22 +110,24 @@
   Metrics(const Metrics &) = delete;
   Metrics &operator=(const Metrics &) = delete;
 
-  /** Adds one finished call. @param now never goes back. */
+  /** Adds one finished call. @param now must not decrease between calls. */
   void record(TimePoint now, const CallSample &sample);
 
   /**
-   * States the objective of one kind, for samples before and after. Ignored
-   * for a new kind when MaxObjectives are known, which keeps the default.
-   * @param objective share of good calls, in (0, 1).
+   * Sets the objective of one kind. It applies to samples recorded before and
+   * after the call. Ignored for a new kind if MaxObjectives kinds have one, so
+   * that the new kind keeps the default.
+   * @param objective target fraction of good calls, in (0, 1).
    */
   void setObjective(std::string_view service, std::string_view kind,
                     double objective);
 
-  /** Replaces all objectives by those of the routes of @p config; of routes of
-   * one kind the highest counts. */
+  /** Replaces all objectives with those of the routes in @p config. If routes
+   * of the same kind have different objectives, the highest one applies. */
   void setObjectives(const Configuration &config);
 
-  /** @return the figures of all series; windows end at @p now. */
+  /** @return the metrics of all series, with time windows that end at @p now.
+   */
   MetricsReport report(TimePoint now) const;
 
 private:
