--- a/include/chivefold/core/safe_steps.h
+++ b/include/chivefold/core/safe_steps.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Safe steps that spread between daemons before their log record.
+ * Safe steps, which spread from daemon to daemon before their log records.
  */
 #ifndef CHIVEFOLD_CORE_SAFE_STEPS_H
 #define CHIVEFOLD_CORE_SAFE_STEPS_H
@@ -17,11 +17,12 @@
 
 namespace chivefold {
 
-/** What a safe step does. Each kind only reduces exposure. */
+/** Action of a safe step. Every kind only removes traffic from a version or a
+ * data centre. */
 enum class SafeStepKind : std::uint8_t {
-  /** Sets the share of a move to 0. */
+  /** Sets the traffic share of a move to 0. */
   TakeBack,
-  /** Takes a data centre out. */
+  /** Stops new requests to a data centre. */
   TakeOut,
 };
 
@@ -29,51 +30,54 @@
 std::string_view safeStepName(SafeStepKind kind);
 std::optional<SafeStepKind> safeStepFromName(std::string_view name);
 
-/** One safe step. */
+/** An action that takes effect on a daemon before its log record is applied. */
 struct SafeStep {
   SafeStepKind Kind = SafeStepKind::TakeBack;
-  /** TakeBack: the service. TakeOut: the data centre. */
+  /** Name of the service (TakeBack) or of the data centre (TakeOut). */
   std::string Subject;
-  /** TakeBack: the move. */
+  /** Version of the move to take back. Unused for TakeOut. */
   Version Move = Version::None;
-  /** TakeOut: applied offset of the daemon that started it; a put-back record
-   * after it supersedes the step. */
+  /** For TakeOut, the applied offset of the daemon that started the step. A
+   * put-back record with a higher offset supersedes the step. */
   LogOffset AfterOffset = LogOffset::None;
-  /** For operators. */
+  /** Explanation for operators. */
   std::string Reason;
 };
 
 /**
- * Overlay of safe steps over a control state. It only grows until a later log
- * record supersedes a step. Not thread-safe.
+ * Safe steps that are in effect in addition to a control state. A step is
+ * dropped only after a later log record supersedes it. Not thread-safe.
  */
 class SafeSteps {
 public:
-  /** On overflow the new step is ignored and takes effect by its log record
-   * only. */
+  /** Further steps are ignored and take effect through their log records only.
+   */
   static constexpr std::size_t MaxSteps = 1024;
-  /** Steps with longer subjects are ignored; longer reasons are cut. */
+  /** Steps with longer subjects are ignored. */
   static constexpr std::size_t MaxSubjectBytes =
       ConfigurationLimits::MaxNameBytes;
+  /** Longer reasons are truncated. */
   static constexpr std::size_t MaxReasonBytes = 256;
 
-  /** @param state outlives this object. */
+  /** @param state must outlive this object. */
   explicit SafeSteps(const ControlState &state) : State(state) {}
 
-  /** Adds a step unless it is known, superseded or does not fit.
-   * @return whether it was new; the caller then forwards it once. */
+  /** Adds a step unless it is known, superseded or beyond a limit.
+   * @return whether the step was new, in which case the caller forwards it to
+   * other daemons once. */
   bool merge(SafeStep step);
 
-  /** Drops superseded steps. Call after records were applied. */
+  /** Drops superseded steps. Call after applying log records. */
   void prune();
 
-  /** @return share of the running move in basis points, 0 if there is none. */
+  /** @return the traffic share of the service's running move in basis points,
+   * or 0 if no move is running or it was taken back. */
   std::uint32_t shareOf(std::string_view service) const;
 
-  /** @return whether @p dataCentre gets no new work. */
+  /** @return whether @p dataCentre must receive no new requests. */
   bool isTakenOut(std::string_view dataCentre) const;
 
-  /** @return all steps in effect, for joining daemons. */
+  /** @return all stored steps, to be sent to joining daemons. */
   std::vector<SafeStep> steps() const;
 
   std::size_t size() const { return TakeBacks.size() + TakeOuts.size(); }
