--- a/include/chivefold/core/types.h
+++ b/include/chivefold/core/types.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Strong identifiers, time, addresses and outcomes shared by all modules.
+ * Identifiers, time types, addresses and call outcomes used by all modules.
  */
 #ifndef CHIVEFOLD_CORE_TYPES_H
 #define CHIVEFOLD_CORE_TYPES_H
@@ -16,8 +16,8 @@
 
 namespace chivefold {
 
-/** Tag of the monotonic clock; core code receives its time points as arguments.
- */
+/** Clock type of monotonic time points. It has no now(): core code receives
+ * time points as arguments. */
 struct MonotonicClock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
@@ -26,28 +26,30 @@
   static constexpr bool is_steady = true; // NOLINT: name required by chrono
 };
 
-/** A local monotonic instant. Deadlines are stored as TimePoint. */
+/** A point in time on the local monotonic clock. Deadlines are stored as
+ * TimePoint. */
 using TimePoint = MonotonicClock::time_point;
 using Duration = MonotonicClock::duration;
 
-/** A UTC instant, used only where operators state one. */
+/** A UTC point in time, used only where operators specify one. */
 using UtcTime = std::chrono::time_point<std::chrono::system_clock,
                                         std::chrono::milliseconds>;
 
-/** Position of a record in the platform's log; 0 means "none". */
+/** Position of a record in the platform's log. 0 means that there is none. */
 enum class LogOffset : std::uint64_t { None = 0 };
 
 constexpr std::uint64_t raw(LogOffset o) {
   return static_cast<std::uint64_t>(o);
 }
 
-/** A configuration version is the offset of the record that commits it. */
+/** Version of the configuration: the offset of the record that commits it. */
 using Version = LogOffset;
 
-/** A lease epoch is the offset of the record that took the lease. */
+/** Epoch of a lease: the offset of the record that took the lease. */
 using Epoch = LogOffset;
 
-/** Random 128-bit identity of a log record, an append can be found by it. */
+/** Random 128-bit identifier of a log record. It identifies an append whose
+ * outcome is unknown when the log is read. */
 struct RecordId {
   std::array<std::uint8_t, 16> Bytes{};
   bool operator==(const RecordId &o) const { return Bytes == o.Bytes; }
@@ -58,7 +60,7 @@
 /** @return 32 lower-case hexadecimal digits. Thread-safe. */
 std::string toString(const RecordId &id);
 
-/** An IP number and a TCP port. */
+/** A numeric IP address and a TCP port. */
 struct Address {
   std::string Ip;
   std::uint16_t Port = 0;
@@ -71,7 +73,7 @@
   }
 };
 
-/** @return "ip:port". Thread-safe. */
+/** @return "ip:port", with an IPv6 address in brackets. Thread-safe. */
 std::string toString(const Address &a);
 
 /** Parses "ip:port" with a numeric IPv4 or bracketed IPv6 address. Thread-safe.
@@ -79,8 +81,9 @@
 std::optional<Address> parseAddress(std::string_view text);
 
 /**
- * One run of a daemon. BootId is random for each start, so that a restarted
- * daemon, which remembers nothing, is not taken for its predecessor.
+ * Identifies one run of a daemon. BootId is random for each start, so that a
+ * restarted daemon, which has lost its state, is not mistaken for its
+ * predecessor at the same address.
  */
 struct DaemonId {
   Address Peer;
@@ -100,11 +103,11 @@
   }
 };
 
-/** @return the hash that identifies @p key of @p service in claims.
- * Thread-safe. */
+/** @return the hash that identifies the idempotency key @p key of @p service in
+ * claims. Thread-safe. */
 KeyHash hashKey(std::string_view service, std::string_view key);
 
-/** What became of a call. */
+/** Outcome of a call: answered, certainly not executed, or unknown. */
 enum class Outcome : std::uint8_t { Answered, NotRun, Unknown };
 
 /** @return "answered", "not-run" or "unknown". Thread-safe. */
