--- a/include/chivefold/core/verdict.h
+++ b/include/chivefold/core/verdict.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Verdicts of the replay on log records, kept for the newest record ids.
+ * Verdicts on log records, stored for the newest record ids.
  */
 #ifndef CHIVEFOLD_CORE_VERDICT_H
 #define CHIVEFOLD_CORE_VERDICT_H
@@ -17,24 +17,28 @@
 
 namespace chivefold {
 
-/** Whether a record counts, or why not. */
+/** Whether a log record takes effect, or why it does not. */
 enum class VerdictKind : std::uint8_t {
   Counted,
-  /** Another change, or another claim of every key, came first. */
+  /** An earlier record made another change, or claimed all of the keys. */
   LostRace,
   StaleEpoch,
-  /** A record or part with the same id came first. */
+  /** An earlier record or part has the same id. */
   DuplicateId,
-  /** Names a move or data centre that is not in force at its place. */
+  /** Names a move or data centre that is not in effect at the offset of the
+   * record. */
   Unknown,
   DigestMismatch,
-  /** A part that waits for its commit, or a commit that lacks parts. */
+  /** A part whose commit has not been read yet, or a commit with missing parts.
+   */
   Incomplete,
-  /** Would break a reference or a limit of the configuration. */
+  /** Would leave an undefined reference or exceed a limit of the configuration.
+   */
   BrokenReference,
-  /** Could not be decoded; has no id, so that no verdict is kept. */
+  /** Could not be decoded. Such a record has no id, so its verdict is not
+   * stored. */
   Undecodable,
-  /** At or below the applied offset; nothing was judged. */
+  /** At or below the applied offset; the record was skipped. */
   AlreadyApplied,
 };
 
@@ -42,7 +46,7 @@
 std::string_view verdictName(VerdictKind kind);
 std::optional<VerdictKind> verdictFromName(std::string_view name);
 
-/** What became of one record. */
+/** Result of applying one log record. */
 struct Verdict {
   Verdict() = default;
   explicit Verdict(VerdictKind kind) : Kind(kind) {}
@@ -52,18 +56,17 @@
         WinnerWriter(std::move(writer)) {}
 
   VerdictKind Kind = VerdictKind::Counted;
-  /** Place of the record. */
   LogOffset Offset = LogOffset::None;
-  /** Record that won a lost race, and its writer (the holder's address if it
-   * is a claim). */
+  /** For LostRace, the record that won, and its writer (the address of the
+   * holder if the record is a claim). */
   LogOffset WinnerOffset = LogOffset::None;
   std::string WinnerWriter;
 };
 
 /**
- * The verdicts on the newest record ids in log order; the oldest is dropped on
- * overflow, after which a repeat of its id is judged as a new record. Not
- * thread-safe.
+ * Verdicts on the newest record ids, in log order. Above MaxEntries the oldest
+ * verdict is dropped, after which a record with the same id is treated as new.
+ * Not thread-safe.
  */
 class VerdictHistory {
 public:
@@ -74,6 +77,7 @@
     Verdict Value;
   };
 
+  /** @return the verdict on the record with @p id, if it is stored. */
   std::optional<Verdict> find(const RecordId &id) const;
 
   /** Precondition: find(id) is empty. */
@@ -82,13 +86,13 @@
   /** @return the entries, oldest first. */
   const std::deque<Entry> &entries() const { return Entries; }
 
-  /** @return a hash of all entries, maintained incrementally. */
+  /** @return a hash of all entries, updated incrementally. */
   std::uint64_t digest() const { return Digest; }
 
 private:
   std::deque<Entry> Entries;
-  /** Number of entries dropped so far; Index holds positions counted from the
-   * first entry ever. */
+  /** Number of entries dropped so far. Index maps an id to its position counted
+   * from the first entry ever added. */
   std::uint64_t Dropped = 0;
   std::unordered_map<RecordId, std::uint64_t> Index;
   std::uint64_t Digest = 0;
