--- a/src/core/configuration.cpp
+++ b/src/core/configuration.cpp
@@ -5,7 +5,8 @@
 namespace chivefold {
 namespace {
 
-/** @return @p path without query and trailing slash; "/" becomes empty. */
+/** @return @p path without its query string and trailing slashes. "/" becomes
+ * empty. */
 std::string_view withoutQueryAndTrailingSlash(std::string_view path) {
   path = path.substr(0, path.find('?'));
   while (!path.empty() && path.back() == '/') {
