--- a/src/core/configuration_text.cpp
+++ b/src/core/configuration_text.cpp
@@ -10,7 +10,7 @@
 namespace chivefold {
 namespace {
 
-/** Bound of limits and worths, far above any real server. */
+/** Upper bound of load limits and worths, far above what a server needs. */
 constexpr std::uint32_t MaxLimit = 1'000'000;
 constexpr std::size_t MaxMethodBytes = 16;
 
@@ -27,7 +27,7 @@
          });
 }
 
-/** Days from 1970-01-01 to a date of the Gregorian calendar. */
+/** @return days from 1970-01-01 to a date of the Gregorian calendar. */
 std::int64_t daysSinceEpoch(std::int64_t year, int month, int day) {
   year -= month <= 2 ? 1 : 0;
   const auto era = (year >= 0 ? year : year - 399) / 400;
@@ -50,7 +50,8 @@
   return UtcTime(days + time);
 }
 
-/** Compiles a parsed text: first each section, then the references. */
+/** Compiles a parsed text: reads each section, then checks the references
+ * between sections. */
 class Compiler {
 public:
   explicit Compiler(const TomlValue &root) : Root(root) {}
@@ -65,8 +66,8 @@
     if (top.count("service") != 0) {
       readServices(top.at("service"));
     }
-    // References are checked only between sections that are valid, since one
-    // wrong section would cause misleading errors in others.
+    // References are checked only if all sections are valid, since an invalid
+    // section would cause misleading errors in others.
     if (!Reader.failed()) {
       checkFleet();
       for (const auto &it : Config.Services) {
@@ -160,7 +161,7 @@
     for (const auto &it : list) {
       service.Routes.push_back(readRoute(it));
       const auto &r = service.Routes.back();
-      // A trailing slash makes no difference when routes are matched.
+      // Route lookup ignores trailing slashes.
       const auto path =
           r.PathPrefix.substr(0, r.PathPrefix.find_last_not_of('/') + 1);
       if (!seen.emplace(r.Method, path).second) {
@@ -282,8 +283,9 @@
     }
   }
 
-  /** @return services in the longest chain that starts at @p s. Recursion is
-   * bounded by MaxServices, since a cycle ends it. */
+  /** @return the number of services in the longest dependency chain that
+   * starts at @p s. Recursion is bounded by MaxServices, since it stops at a
+   * cycle. */
   int chainLength(const Service &s, std::map<std::string, int> &chainLengths) {
     const auto known = chainLengths.find(s.Name);
     if (known != chainLengths.end()) {
@@ -328,7 +330,8 @@
   TomlReader Reader;
   Configuration Config;
   std::optional<UtcTime> Now;
-  /** Services from the start of the dependency chain to the one visited. */
+  /** Services from the start of the dependency chain to the one being visited.
+   */
   std::vector<std::string> DependencyChain;
 };
 
