--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -26,11 +26,12 @@
     double, acc::stats<acc::tag::count, acc::tag::mean, acc::tag::max,
                        acc::tag::extended_p_square>>;
 
-/** The quantile estimator needs 2n + 3 samples for n quantiles. */
+/** The P-square estimator needs 2n + 3 samples for n quantiles. */
 constexpr std::size_t MinQuantileSamples =
     2 * MetricsSettings::Quantiles.size() + 3;
 
-/** Counts over the last N buckets of equal length; older ones are dropped. */
+/** Counts calls in a sliding window of N buckets of equal duration. Buckets
+ * older than the window are overwritten. */
 template <std::size_t N> class BucketRing {
 public:
   explicit BucketRing(Duration window) : BucketLength(window / N) {}
@@ -96,7 +97,8 @@
   return out;
 }
 
-/** One metric of the Prometheus text with its value for a series. */
+/** A metric in the Prometheus text format, and how its value is read from a
+ * series. */
 struct ExportedMetric {
   const char *Name;
   const char *Type;
@@ -156,7 +158,7 @@
                                     std::string_view kind) {
   SeriesKey key(service, kind);
   auto it = SeriesByKey.find(key);
-  // The last place is kept for the series "other".
+  // The last entry is reserved for the series "other".
   if (it == SeriesByKey.end() && isFull()) {
     key = {"other", "other"};
     it = SeriesByKey.find(key);
@@ -263,7 +265,7 @@
 
 namespace {
 
-/** @return [upper bound in ms, calls] of each bucket that is not empty. */
+/** @return [upper bound in ms, number of calls] for each non-empty bucket. */
 nlohmann::json bucketsJson(const SeriesReport &series) {
   auto list = nlohmann::json::array();
   for (std::size_t n = 0; n < series.LatencyBuckets.size(); ++n) {
@@ -300,7 +302,7 @@
                    {"bad_1h", it.LongWindow.Bad},
                    {"latency_buckets", bucketsJson(it)}});
   }
-  // Names come from request paths, so they may not be valid UTF-8.
+  // Names come from request paths and may contain invalid UTF-8.
   return nlohmann::json{{"series", all}}.dump(
       -1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
