--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -68,8 +68,8 @@
       requiredOffset = std::max(requiredOffset, it.second.Applied);
     }
   }
-  // Peers that are starting too hold no state, so that waiting for them would
-  // block a fleet of which only a few daemons survived.
+  // Peers that are also starting have no state to offer. Waiting for them would
+  // block a fleet in which only a few daemons survived.
   const auto startingPeers = Answers.size() - readyPeers;
   const auto peersWithState = context.OtherMembers > startingPeers
                                   ? context.OtherMembers - startingPeers
