--- a/src/core/text_scan.cpp
+++ b/src/core/text_scan.cpp
@@ -6,14 +6,16 @@
 namespace chivefold {
 namespace {
 
-/** The format needs 2 levels; every level costs the parser stack. */
+/** The configuration format needs 2 levels. The limit bounds the stack usage of
+ * the parser, which recurses at each level. */
 constexpr int MaxNesting = 8;
-/** The format needs 3 parts per key; every part costs the parser stack. */
+/** The configuration format needs 3 parts per key. The limit bounds the stack
+ * usage of the parser, which recurses for each part. */
 constexpr int MaxDotsPerLine = 64;
 constexpr std::size_t MaxQuotedBytes = 80;
 
-/** @return length of the UTF-8 sequence at the start of @p text, 0 if it is
- * invalid (overlong, surrogate, out of range or cut off). */
+/** @return the length of the UTF-8 sequence at the start of @p text, or 0 if it
+ * is invalid (overlong, surrogate, out of range or truncated). */
 std::size_t utf8Length(std::string_view text) {
   const auto byteAt = [&](std::size_t n) {
     return n < text.size() ? static_cast<unsigned char>(text[n]) : 0U;
@@ -59,8 +61,8 @@
   return Done{};
 }
 
-/** Follows strings and comments, which end at the latest with their line, so
- * that only brackets and dots of the syntax are counted. */
+/** Counts the brackets and dots of the syntax. Skips strings and comments,
+ * which end at the end of their line at the latest. */
 class NestingScanner {
 public:
   explicit NestingScanner(std::string_view text) : Text(text) {}
@@ -112,7 +114,8 @@
   }
 
   std::string_view Text;
-  /** The quote or '#' of the string or comment at this place, or 0. */
+  /** The quote or '#' that opened the current string or comment, or 0 outside
+   * of both. */
   char OpenDelimiter = '\0';
   int Depth = 0;
   int Dots = 0;
@@ -122,8 +125,8 @@
   return text.substr(0, text.find('\n'));
 }
 
-/** The last marked place in a toml11 message, whose rows are " N | source"
- * followed by "   | ^--- comment". */
+/** The last source position marked in a toml11 error message. Each is a row
+ * " N | source" followed by a row "   | ^--- comment". */
 struct ErrorMarker {
   int Line = 1;
   std::size_t Column = 0;
@@ -215,8 +218,9 @@
   if (!marker.Comment.empty()) {
     message += " (" + std::string(marker.Comment) + ")";
   }
-  // toml11 counts lines of a bad date from the date itself, so its source row
-  // is looked up if it is not the start of the stated line.
+  // For an invalid date, toml11 counts lines from the date instead of the start
+  // of the text. If the quoted source is not at the start of the reported line,
+  // it is searched for in the text.
   auto start = lineStart(text, marker.Line);
   if (text.substr(start, marker.Source.size()) != marker.Source) {
     const auto found = text.find(marker.Source);
