--- a/src/core/text_scan.h
+++ b/src/core/text_scan.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Checks of a text before the TOML parser sees it, and places in texts.
+ * Validation of a text before TOML parsing, and source positions of errors.
  */
 #ifndef CHIVEFOLD_SRC_CORE_TEXT_SCAN_H
 #define CHIVEFOLD_SRC_CORE_TEXT_SCAN_H
@@ -13,21 +13,23 @@
 
 namespace chivefold {
 
-/** @return InvalidText at the line and column of byte @p pos of @p text. */
+/** @return InvalidText with @p message at the line and column of byte @p pos of
+ * @p text. */
 Reason reasonAt(std::string_view text, std::size_t pos, std::string message);
 
-/** @return a short form of untrusted @p text that is safe to print in a line.
- */
+/** @return untrusted @p text in quotes for a single-line message, truncated and
+ * with control characters replaced. */
 std::string quotedText(std::string_view text);
 
 /**
- * Refuses what toml11 accepts or cannot bear: invalid UTF-8, control
- * characters, strings over several lines, and nesting or dotted keys so deep
- * that its recursion could exhaust the stack.
+ * Rejects input that toml11 wrongly accepts or cannot parse safely: invalid
+ * UTF-8, control characters, multi-line strings, and nesting or dotted keys so
+ * deep that its recursion could exhaust the stack.
  */
 Status validateText(std::string_view text);
 
-/** @return the place and cause in the message of a toml11 syntax error. */
+/** @return InvalidText with the position and description extracted from
+ * @p parserMessage, the toml11 message of a syntax error in @p text. */
 Reason syntaxErrorReason(std::string_view text, std::string_view parserMessage);
 
 } // namespace chivefold
