--- a/src/core/text_reader.h
+++ b/src/core/text_reader.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Typed access to parsed TOML, with places of errors.
+ * Typed access to parsed TOML values, with the source positions of errors.
  */
 #ifndef CHIVEFOLD_SRC_CORE_TEXT_READER_H
 #define CHIVEFOLD_SRC_CORE_TEXT_READER_H
@@ -20,17 +20,19 @@
 
 namespace chivefold {
 
-/** Ordered tables give the same first error on every run. */
+/** Tables are ordered so that every run reports the same first error. */
 using TomlValue =
     toml::basic_value<toml::discard_comments, std::map, std::vector>;
 
+/** @return InvalidText at the source position of @p at. */
 inline Reason reasonAt(const TomlValue &at, std::string message) {
   const auto place = at.location();
   return {ErrorCode::InvalidText, std::move(message),
           static_cast<int>(place.line()), static_cast<int>(place.column())};
 }
 
-/** @return whether @p text is a name of up to MaxNameBytes. */
+/** @return whether @p text is a valid name: 1 to MaxNameBytes letters, digits,
+ * dots, underscores and hyphens. */
 inline bool isName(std::string_view text) {
   return !text.empty() && text.size() <= ConfigurationLimits::MaxNameBytes &&
          std::all_of(text.begin(), text.end(), [](char c) {
@@ -40,8 +42,8 @@
 }
 
 /**
- * Reads typed values and keeps the first error. Readers go on after an error
- * with a default, so that callers need no check after each value.
+ * Reads typed values and stores the first error. After an error, each function
+ * returns a default value, so that callers need not check every call.
  */
 class TomlReader {
 public:
@@ -54,7 +56,8 @@
     }
   }
 
-  /** @return the table, or an empty one. Refuses other keys than @p keys. */
+  /** @return the table, or an empty one if @p value is not a table. Keys that
+   * are not in @p keys are errors. */
   const TomlValue::table_type &
   table(const TomlValue &value, const std::string &what,
         std::initializer_list<std::string_view> keys) {
@@ -76,6 +79,8 @@
     return t;
   }
 
+  /** @return the table, or an empty one if @p value is not a table. Accepts any
+   * key. */
   const TomlValue::table_type &anyTable(const TomlValue &value,
                                         const std::string &what) {
     static const TomlValue::table_type none;
@@ -86,7 +91,7 @@
     return value.as_table();
   }
 
-  /** @return the value of a key that must exist, or nullptr. */
+  /** @return the value of a required key, or nullptr if it is missing. */
   const TomlValue *required(const TomlValue &parent,
                             const TomlValue::table_type &t, const char *key) {
     const auto it = t.find(key);
@@ -97,6 +102,8 @@
     return &it->second;
   }
 
+  /** @return the string in @p value, which must satisfy @p isValid. @p expected
+   * describes valid strings in the error message. */
   std::string text(const TomlValue &value, bool (*isValid)(std::string_view),
                    const char *expected) {
     if (!value.is_string()) {
@@ -115,6 +122,7 @@
     return text(value, isName, NameExpected);
   }
 
+  /** Reads an array of at most @p maxCount distinct names. */
   std::vector<std::string> names(const TomlValue &value, std::size_t maxCount) {
     std::vector<std::string> result;
     if (!value.is_array()) {
@@ -137,6 +145,8 @@
     return result;
   }
 
+  /** Reads an optional integer from 1 to @p maximum. @p target is unchanged if
+   * the key is missing or invalid. */
   void number(const TomlValue::table_type &t, const char *key,
               std::uint32_t maximum, std::uint32_t &target) {
     const auto it = t.find(key);
@@ -153,7 +163,8 @@
     target = static_cast<std::uint32_t>(value.as_integer());
   }
 
-  /** Reads an optional number above 0 and below 1. */
+  /** Reads an optional number above 0 and below 1. @p target is unchanged if
+   * the key is missing or invalid. */
   void fraction(const TomlValue::table_type &t, const char *key,
                 double &target) {
     const auto it = t.find(key);
@@ -161,7 +172,7 @@
       return;
     }
     const auto &value = it->second;
-    // Written so that "nan" is refused too.
+    // This form of the comparison also rejects NaN.
     if (!value.is_floating() ||
         !(value.as_floating() > 0 && value.as_floating() < 1)) {
       fail(value,
