--- a/tests/unit/configuration_text_test.cpp
+++ b/tests/unit/configuration_text_test.cpp
@@ -56,7 +56,8 @@
                      : text.replace(text.find(old), old.size(), bad.New);
 }
 
-/** Services s0, s1, ... where each depends on the next. */
+/** Configuration text of services s0, s1, ..., each of which depends on the
+ * next. */
 std::string chain(int services) {
   std::string text = "[fleet]\ndata_centres = ['a']\n";
   for (int n = 0; n < services; ++n) {
@@ -124,8 +125,7 @@
 
 } // namespace
 
-// Guards against values that get lost or change between text and
-// configuration.
+// Guards against values that are lost or changed during compilation.
 TEST_CASE("a text compiles to its configuration", "[text]") {
   const auto config = compileConfiguration(Good);
   INFO(toString(config.reason()));
@@ -149,8 +149,8 @@
   CHECK(toString(s->Move->Deadline) == "2026-12-04T16:00:00Z");
 }
 
-// Guards against a bad text that is accepted, and against a wrong place in the
-// message, which sends operators to the wrong line.
+// Guards against accepting an invalid text, and against a wrong position in the
+// error message, which would send operators to the wrong line.
 TEST_CASE("bad texts are refused with their place", "[text]") {
   for (const auto &it : BadTexts) {
     INFO(it.New);
@@ -165,7 +165,8 @@
   }
 }
 
-// Guards against calls deeper than the propagated call depth allows.
+// Guards against dependency chains that exceed the maximum call depth, which is
+// propagated with each request.
 TEST_CASE("dependency chains are bounded", "[text]") {
   CHECK(compileConfiguration(chain(8)).hasValue());
   const auto deep = compileConfiguration(chain(9));
@@ -174,8 +175,8 @@
   CHECK(deep.reason().Line > 0);
 }
 
-// Guards against texts that exceed a table of the daemons or exhaust the
-// parser's stack.
+// Guards against texts that exceed a fixed-size table of the daemons or exhaust
+// the parser's stack.
 TEST_CASE("limits of a text are enforced", "[text]") {
   const auto refused = [](const std::string &text) {
     const auto config = compileConfiguration(text);
@@ -217,7 +218,7 @@
   CHECK(refused(dotted + " = 1"));
 }
 
-// Guards against a move that is accepted when its deadline has passed.
+// Guards against accepting a move whose deadline has passed.
 TEST_CASE("move deadlines must be in the future", "[text]") {
   const auto deadline =
       compileConfiguration(Good)->service("client-desk")->Move->Deadline;
@@ -231,8 +232,8 @@
   CHECK(late.reason().Column == 12);
 }
 
-// Guards against a change that does not lead to the configuration that the
-// operator asked for.
+// Guards against a change that does not produce the configuration that the
+// operator requested.
 TEST_CASE("applying a difference gives the target", "[text]") {
   const Configuration empty;
   const auto from = *compileConfiguration(Good);
@@ -254,7 +255,8 @@
                  Catch::Contains("move to v2 by 2026-12-04T16:00:00Z"));
 }
 
-// Guards against a request that gets the kind or timeout of another route.
+// Guards against selecting the wrong route, which would give a request the kind
+// and timeout of another one.
 TEST_CASE("routes match whole segments, longest first", "[text]") {
   Service s;
   s.Routes = {{"GET", "/", "root"},
