--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-// Guards against burn rates that keep counting calls older than their window.
+// Guards against burn rates that include calls older than their window.
 TEST_CASE("burn rates forget what is older than their window", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", "book", 0.9);
@@ -36,7 +36,7 @@
   CHECK(metrics.report(at(6000)).Series.at(0).LongBurnRate == 0);
 }
 
-// Guards against memory that grows with the number of kinds.
+// Guards against memory usage that grows with the number of request kinds.
 TEST_CASE("series are bounded and the rest is counted", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   for (int n = 0; n < 3000; ++n) {
@@ -49,8 +49,8 @@
         3000 - (MetricsSettings::MaxSeries - 1));
 }
 
-// Guards against the laxer of two objectives of one kind, and against
-// objectives that stay after a configuration dropped them.
+// Guards against applying the lower of two objectives of one kind, and against
+// keeping objectives that the configuration no longer contains.
 TEST_CASE("objectives follow the configuration", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   Configuration config;
@@ -63,7 +63,7 @@
   CHECK(metrics.report(at(1)).Series.at(0).Objective == 0.999);
 }
 
-// Guards against calls that fall between latency buckets or outside of them.
+// Guards against calls that are counted in no latency bucket or in a wrong one.
 TEST_CASE("each call is in the bucket of its latency", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   const std::chrono::microseconds latencies[] = {{},
@@ -79,7 +79,7 @@
   CHECK(buckets.back() == 1);
 }
 
-// Guards against names that break the exported formats.
+// Guards against invalid output for names with quotes or invalid UTF-8.
 TEST_CASE("exports escape names", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   metrics.record(at(1), sample("a\"b\xff", true));
