--- a/tests/unit/safe_steps_test.cpp
+++ b/tests/unit/safe_steps_test.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Guards against a take-out that is lost before its record, and one that cannot
-// be undone or is revived by a late copy.
+// Guards against a take-out that has no effect before its log record is
+// applied, that a put-back does not undo, or that a late copy restores.
 TEST_CASE("a later put-back supersedes a take-out", "[safe-steps]") {
   LogBuilder log;
   ControlState state;
@@ -46,8 +46,8 @@
   CHECK(steps.merge(takeOut("east", state.applied())));
 }
 
-// Guards against a bad version that keeps its share until the log answers, and
-// a later move that inherits the take-back.
+// Guards against a bad version that keeps its traffic share until the log is
+// available, and against a take-back that also applies to a later move.
 TEST_CASE("a take-back applies to its move only", "[safe-steps]") {
   LogBuilder log;
   ControlState state;
@@ -78,7 +78,7 @@
   CHECK_FALSE(steps.merge(takeBack("s", move)));
 }
 
-// Guards against unbounded growth.
+// Guards against memory usage that grows with the number of received steps.
 TEST_CASE("safe steps are bounded", "[safe-steps]") {
   ControlState state;
   SafeSteps steps(state);
