--- a/tests/unit/types_test.cpp
+++ b/tests/unit/types_test.cpp
@@ -5,8 +5,8 @@
 
 using namespace chivefold;
 
-// Guards against an address that is accepted without being an IP number and a
-// port, since daemons never resolve names.
+// Guards against accepting an address that is not a numeric IP address and a
+// port, since daemons never resolve host names.
 TEST_CASE("addresses are IP numbers with a port", "[types]") {
   const auto v4 = parseAddress("127.0.0.1:80");
   REQUIRE(v4.has_value());
@@ -20,8 +20,7 @@
   }
 }
 
-// Guards against an error code that is printed under a name that cannot be
-// parsed.
+// Guards against error codes whose printed name cannot be parsed back.
 TEST_CASE("error names parse back", "[types]") {
   for (int n = 0; n <= static_cast<int>(ErrorCode::Conflict); ++n) {
     const auto ec = static_cast<ErrorCode>(n);
