--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -33,9 +33,10 @@
     reason = peerShortfall(context);
     HasRecovered = reason.empty();
   } else if (raw(context.Applied) + 1 < raw(OldestRetained)) {
-    reason = "the log retains records from " +
-             std::to_string(raw(OldestRetained)) +
-             " on and no complete snapshot; asking peers";
+    reason =
+        "the log retains records from offset " +
+        std::to_string(raw(OldestRetained)) +
+        " on and contains no complete snapshot; requesting state from peers";
   } else if (NextOffsetAtStart) {
     reason = "reading the log: applied " +
              std::to_string(raw(context.Applied)) + ", tail " +
@@ -77,17 +78,22 @@
   const auto neededPeers =
       std::max<std::size_t>(1, std::min(MinReadyPeers, peersWithState));
   if (readyPeers < neededPeers) {
-    return "log down: " + std::to_string(readyPeers) + " of " +
-           std::to_string(neededPeers) + " peers answered with their state";
+    return "log unavailable: " + std::to_string(readyPeers) + " of " +
+           std::to_string(neededPeers) +
+           " required peers have recovered and answered";
   }
   const auto neededDataCentres = std::max<std::size_t>(
       1, std::min(MinDataCentres, context.OtherDataCentres));
   if (dataCentres.size() < neededDataCentres) {
-    return "log down: peers of one data centre only answered";
+    return "log unavailable: peers answered from " +
+           std::to_string(dataCentres.size()) + " of " +
+           std::to_string(neededDataCentres) + " required data centres";
   }
   if (context.Applied < requiredOffset) {
-    return "log down: applied " + std::to_string(raw(context.Applied)) +
-           " is below the floor " + std::to_string(raw(requiredOffset));
+    return "log unavailable: applied offset " +
+           std::to_string(raw(context.Applied)) +
+           " is below the required offset " +
+           std::to_string(raw(requiredOffset));
   }
   return {};
 }
