--- a/src/core/configuration_text.cpp
+++ b/src/core/configuration_text.cpp
@@ -230,7 +230,7 @@
                         .as_table()
                         .at("taken_out")
                         .as_array()[n],
-                    "expected a data centre of data_centres, got " +
+                    "expected a data centre listed in data_centres, got " +
                         quotedText(name));
       }
     }
@@ -241,24 +241,24 @@
     for (std::size_t n = 0; n < s.DependsOn.size(); ++n) {
       if (Config.service(s.DependsOn[n]) == nullptr) {
         Reader.fail(t.at("depends_on").as_array()[n],
-                    "expected a service of this text, got " +
+                    "expected a service defined in this text, got " +
                         quotedText(s.DependsOn[n]));
       }
     }
     checkVersion(s, s.CurrentVersion, t.at("current"));
     if (s.Limits.ColdSlots > s.Limits.Slots) {
       Reader.fail(t.at(t.count("cold_slots") != 0 ? "cold_slots" : "slots"),
-                  "expected cold_slots of at most slots");
+                  "expected cold_slots to be at most slots");
     }
     if (s.Move) {
       const auto &toVersion = t.at("move").as_table().at("to");
       checkVersion(s, s.Move->ToVersion, toVersion);
       if (s.Move->ToVersion == s.CurrentVersion) {
-        Reader.fail(toVersion, "expected another version than the current one");
+        Reader.fail(toVersion, "expected a version other than the current one");
       }
       if (Now && s.Move->Deadline <= *Now) {
         Reader.fail(t.at("move").as_table().at("deadline"),
-                    "expected a deadline in the future, it is " +
+                    "expected a deadline in the future; the current time is " +
                         toString(*Now));
       }
     }
@@ -375,7 +375,8 @@
       return Reason{ErrorCode::InvalidText,
                     "service " + it.first + ": the move's deadline " +
                         toString(move->Deadline) +
-                        " is not in the future, it is " + toString(now)};
+                        " is not in the future; the current time is " +
+                        toString(now)};
     }
   }
   return Done{};
