--- a/tests/unit/configuration_text_test.cpp
+++ b/tests/unit/configuration_text_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const std::string Good = R"([fleet]
+const std::string ValidText = R"([fleet]
 data_centres = ["ain-sebaa", "bouskoura"]
 taken_out = ["bouskoura"]
 
@@ -41,7 +41,7 @@
 current = "v1"
 )";
 
-struct BadText {
+struct InvalidTextCase {
   const char *Old;
   const char *New;
   int Line;
@@ -49,16 +49,16 @@
   const char *Expected;
 };
 
-std::string replaced(const BadText &bad) {
-  auto text = Good;
-  const std::string_view old = bad.Old;
-  return old.empty() ? text + bad.New
-                     : text.replace(text.find(old), old.size(), bad.New);
+std::string replaced(const InvalidTextCase &invalid) {
+  auto text = ValidText;
+  const std::string_view old = invalid.Old;
+  return old.empty() ? text + invalid.New
+                     : text.replace(text.find(old), old.size(), invalid.New);
 }
 
 /** Configuration text of services s0, s1, ..., each of which depends on the
  * next. */
-std::string chain(int services) {
+std::string dependencyChainText(int services) {
   std::string text = "[fleet]\ndata_centres = ['a']\n";
   for (int n = 0; n < services; ++n) {
     text += "[service.s" + std::to_string(n) +
@@ -70,7 +70,7 @@
   return text;
 }
 
-const BadText BadTexts[] = {
+const InvalidTextCase InvalidTextCases[] = {
     {"queue = 30", "qeue = 30", 11, 8, "unknown key 'qeue'"},
     {"[fleet]", "[flet]", 1, 1, "unknown key 'flet'"},
     {"taken_out", "taken", 3, 9, "unknown key 'taken' in fleet"},
@@ -127,8 +127,8 @@
 } // namespace
 
 // Guards against values that are lost or changed during compilation.
-TEST_CASE("a text compiles to its configuration", "[text]") {
-  const auto config = compileConfiguration(Good);
+TEST_CASE("a valid text compiles to its configuration", "[text]") {
+  const auto config = compileConfiguration(ValidText);
   INFO(toString(config.reason()));
   REQUIRE(config.hasValue());
   CHECK(config->FleetSettings ==
@@ -152,8 +152,8 @@
 
 // Guards against accepting an invalid text, and against a wrong position in the
 // error message, which would send operators to the wrong line.
-TEST_CASE("bad texts are refused with their place", "[text]") {
-  for (const auto &it : BadTexts) {
+TEST_CASE("invalid texts are rejected with their position", "[text]") {
+  for (const auto &it : InvalidTextCases) {
     INFO(it.New);
     const auto config = compileConfiguration(replaced(it));
     REQUIRE_FALSE(config.hasValue());
@@ -169,8 +169,8 @@
 // Guards against dependency chains that exceed the maximum call depth, which is
 // propagated with each request.
 TEST_CASE("dependency chains are bounded", "[text]") {
-  CHECK(compileConfiguration(chain(8)).hasValue());
-  const auto deep = compileConfiguration(chain(9));
+  CHECK(compileConfiguration(dependencyChainText(8)).hasValue());
+  const auto deep = compileConfiguration(dependencyChainText(9));
   REQUIRE_FALSE(deep.hasValue());
   CHECK_THAT(deep.reason().Message, Catch::Contains("at most 8 services"));
   CHECK(deep.reason().Line > 0);
@@ -222,12 +222,13 @@
 // Guards against accepting a move whose deadline has passed.
 TEST_CASE("move deadlines must be in the future", "[text]") {
   const auto deadline =
-      compileConfiguration(Good)->service("client-desk")->Move->Deadline;
+      compileConfiguration(ValidText)->service("client-desk")->Move->Deadline;
   const auto before = deadline - std::chrono::milliseconds(1);
-  CHECK(compileConfiguration(Good, before).hasValue());
-  CHECK(checkDeadlines(*compileConfiguration(Good), before).hasValue());
-  CHECK_FALSE(checkDeadlines(*compileConfiguration(Good), deadline).hasValue());
-  const auto late = compileConfiguration(Good, deadline);
+  CHECK(compileConfiguration(ValidText, before).hasValue());
+  CHECK(checkDeadlines(*compileConfiguration(ValidText), before).hasValue());
+  CHECK_FALSE(
+      checkDeadlines(*compileConfiguration(ValidText), deadline).hasValue());
+  const auto late = compileConfiguration(ValidText, deadline);
   REQUIRE_FALSE(late.hasValue());
   CHECK(late.reason().Line == 29);
   CHECK(late.reason().Column == 12);
@@ -237,8 +238,8 @@
 // operator requested.
 TEST_CASE("applying a difference gives the target", "[text]") {
   const Configuration empty;
-  const auto from = *compileConfiguration(Good);
-  auto text = chain(3);
+  const auto from = *compileConfiguration(ValidText);
+  auto text = dependencyChainText(3);
   const auto to = *compileConfiguration(
       text + "[service.client-desk]\nversions = ['v1']\ncurrent = 'v1'\n");
   for (const auto *a : {&empty, &from, &to}) {
