--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 // Guards against burn rates that include calls older than their window.
-TEST_CASE("burn rates forget what is older than their window", "[metrics]") {
+TEST_CASE("burn rates exclude calls older than their window", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", "book", 0.9);
   for (int n = 0; n < 100; ++n) {
@@ -37,7 +37,8 @@
 }
 
 // Guards against memory usage that grows with the number of request kinds.
-TEST_CASE("series are bounded and the rest is counted", "[metrics]") {
+TEST_CASE("calls beyond the series limit are counted in one series",
+          "[metrics]") {
   Metrics metrics{MetricsSettings()};
   for (int n = 0; n < 3000; ++n) {
     metrics.record(at(1), sample("kind" + std::to_string(n), true));
