--- a/tests/unit/types_test.cpp
+++ b/tests/unit/types_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // Guards against error codes whose printed name cannot be parsed back.
-TEST_CASE("error names parse back", "[types]") {
+TEST_CASE("error names parse back to their codes", "[types]") {
   for (int n = 0; n <= static_cast<int>(ErrorCode::Conflict); ++n) {
     const auto ec = static_cast<ErrorCode>(n);
     CHECK(errorFromName(errorName(ec)) == ec);
