--- a/src/core/text_reader.h
+++ b/src/core/text_reader.h
@@ -42,8 +42,8 @@
 }
 
 /**
- * Reads typed values and stores the first error. After an error, each function
- * returns a default value, so that callers need not check every call.
+ * Reads typed values and stores the first error. An invalid value does not stop
+ * the reading, so that callers need not check for an error after each value.
  */
 class TomlReader {
 public:
