--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -33,10 +33,9 @@
     reason = peerShortfall(context);
     HasRecovered = reason.empty();
   } else if (raw(context.Applied) + 1 < raw(OldestRetained)) {
-    reason =
-        "the log retains records from offset " +
-        std::to_string(raw(OldestRetained)) +
-        " on and contains no complete snapshot; requesting state from peers";
+    reason = "the log retains records from " +
+             std::to_string(raw(OldestRetained)) +
+             " on and no complete snapshot; requesting state from peers";
   } else if (NextOffsetAtStart) {
     reason = "reading the log: applied " +
              std::to_string(raw(context.Applied)) + ", tail " +
