--- a/tests/unit/configuration_text_test.cpp
+++ b/tests/unit/configuration_text_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const std::string Good = R"([fleet]
+const std::string ValidText = R"([fleet]
 data_centres = ["ain-sebaa", "bouskoura"]
 taken_out = ["bouskoura"]
 
@@ -41,7 +41,7 @@
 current = "v1"
 )";
 
-struct BadText {
+struct InvalidTextCase {
   const char *Old;
   const char *New;
   int Line;
@@ -49,15 +49,16 @@
   const char *Expected;
 };
 
-std::string replaced(const BadText &bad) {
-  auto text = Good;
-  const std::string_view old = bad.Old;
-  return old.empty() ? text + bad.New
-                     : text.replace(text.find(old), old.size(), bad.New);
+std::string replaced(const InvalidTextCase &invalid) {
+  auto text = ValidText;
+  const std::string_view old = invalid.Old;
+  return old.empty() ? text + invalid.New
+                     : text.replace(text.find(old), old.size(), invalid.New);
 }
 
-/** Services s0, s1, ... where each depends on the next. */
-std::string chain(int services) {
+/** Configuration text of services s0, s1, ..., each of which depends on the
+ * next. */
+std::string dependencyChainText(int services) {
   std::string text = "[fleet]\ndata_centres = ['a']\n";
   for (int n = 0; n < services; ++n) {
     text += "[service.s" + std::to_string(n) +
@@ -69,7 +70,7 @@
   return text;
 }
 
-const BadText BadTexts[] = {
+const InvalidTextCase InvalidTextCases[] = {
     {"queue = 30", "qeue = 30", 11, 8, "unknown key 'qeue'"},
     {"[fleet]", "[flet]", 1, 1, "unknown key 'flet'"},
     {"taken_out", "taken", 3, 9, "unknown key 'taken' in fleet"},
@@ -82,21 +83,22 @@
     {"queue = 30", "queue = 99999999999999999999", 11, 9, "whole number"},
     {"connections = 120", "connections = 0", 10, 15, "whole number"},
     {"cold_slots = 2", "cold_slots = 0", 12, 14, "whole number"},
-    {"cold_slots = 2", "cold_slots = 21", 12, 14, "cold_slots of at most"},
+    {"cold_slots = 2", "cold_slots = 21", 12, 14, "cold_slots to be at most"},
     {"timeout_ms = 1500", "timeout_ms = 0", 19, 14, "from 1 to 600000"},
     {"timeout_ms = 1500", "timeout_ms = 600001", 19, 14, "from 1 to 600000"},
     {"worth = 5", "objective = 1.0", 18, 13, "above 0 and below 1"},
     {"worth = 5", "objective = 0.0", 18, 13, "above 0 and below 1"},
     {"worth = 5", "objective = nan", 18, 13, "above 0 and below 1"},
     {"worth = 5", "objective = 1", 18, 13, "above 0 and below 1"},
-    {"[\"depot-ledger\"]", "[\"ledger\"]", 6, 15, "a service of this text"},
+    {"[\"depot-ledger\"]", "[\"ledger\"]", 6, 15,
+     "a service defined in this text"},
     {"[\"depot-ledger\"]", "\"depot-ledger\"", 6, 14, "array of names"},
     {"[\"depot-ledger\"]", "[\"client-desk\"]", 6, 15, "dependency cycle"},
     {"[\"depot-ledger\"]", "[7]", 6, 15, "expected a string"},
     {"current = \"v1\"", "current = \"v3\"", 8, 11, "service's versions"},
     {"current = \"v1\"\n", "", 5, 1, "expected a key 'current'"},
     {"to = \"v2\"", "to = \"v3\"", 28, 6, "service's versions"},
-    {"to = \"v2\"", "to = \"v1\"", 28, 6, "another version"},
+    {"to = \"v2\"", "to = \"v1\"", 28, 6, "a version other than"},
     {"[\"v1\", \"v2\"]", "[\"v1\", \"v1\"]", 7, 19, "duplicate name 'v1'"},
     {"[\"v1\", \"v2\"]", "[\"v1\", \"v 2\"]", 7, 19, "a name of 1 to 64"},
     {"[\"v1\", \"v2\"]", "[\"v1\", \"\"]", 7, 19, "a name of 1 to 64"},
@@ -105,7 +107,7 @@
     {"\"POST\"", "\"post\"", 15, 10, "upper-case HTTP method"},
     {"\"POST\"", "\"GET\"", 21, 1, "duplicate route GET '/pickups/'"},
     {"repeatable = true", "repeatable = 1", 25, 14, "true or false"},
-    {"[\"bouskoura\"]", "[\"lalitpur\"]", 3, 14, "of data_centres"},
+    {"[\"bouskoura\"]", "[\"lalitpur\"]", 3, 14, "listed in data_centres"},
     {"[\"ain-sebaa\", \"bouskoura\"]", "[]", 2, 16, "at least one"},
     {"17:00:00+01:00", "17:00:00", 29, 12, "with UTC offset"},
     {"2026-12-04T17", "2026-13-04T17", 29, 22, "RFC3339"},
@@ -124,10 +126,9 @@
 
 } // namespace
 
-// Guards against values that get lost or change between text and
-// configuration.
-TEST_CASE("a text compiles to its configuration", "[text]") {
-  const auto config = compileConfiguration(Good);
+// Guards against values that are lost or changed during compilation.
+TEST_CASE("a valid text compiles to its configuration", "[text]") {
+  const auto config = compileConfiguration(ValidText);
   INFO(toString(config.reason()));
   REQUIRE(config.hasValue());
   CHECK(config->FleetSettings ==
@@ -149,10 +150,10 @@
   CHECK(toString(s->Move->Deadline) == "2026-12-04T16:00:00Z");
 }
 
-// Guards against a bad text that is accepted, and against a wrong place in the
-// message, which sends operators to the wrong line.
-TEST_CASE("bad texts are refused with their place", "[text]") {
-  for (const auto &it : BadTexts) {
+// Guards against accepting an invalid text, and against a wrong position in the
+// error message, which would send operators to the wrong line.
+TEST_CASE("invalid texts are rejected with their position", "[text]") {
+  for (const auto &it : InvalidTextCases) {
     INFO(it.New);
     const auto config = compileConfiguration(replaced(it));
     REQUIRE_FALSE(config.hasValue());
@@ -165,17 +166,18 @@
   }
 }
 
-// Guards against calls deeper than the propagated call depth allows.
+// Guards against dependency chains that exceed the maximum call depth, which is
+// propagated with each request.
 TEST_CASE("dependency chains are bounded", "[text]") {
-  CHECK(compileConfiguration(chain(8)).hasValue());
-  const auto deep = compileConfiguration(chain(9));
+  CHECK(compileConfiguration(dependencyChainText(8)).hasValue());
+  const auto deep = compileConfiguration(dependencyChainText(9));
   REQUIRE_FALSE(deep.hasValue());
   CHECK_THAT(deep.reason().Message, Catch::Contains("at most 8 services"));
   CHECK(deep.reason().Line > 0);
 }
 
-// Guards against texts that exceed a table of the daemons or exhaust the
-// parser's stack.
+// Guards against texts that exceed a fixed-size table of the daemons or exhaust
+// the parser's stack.
 TEST_CASE("limits of a text are enforced", "[text]") {
   const auto refused = [](const std::string &text) {
     const auto config = compileConfiguration(text);
@@ -217,26 +219,27 @@
   CHECK(refused(dotted + " = 1"));
 }
 
-// Guards against a move that is accepted when its deadline has passed.
+// Guards against accepting a move whose deadline has passed.
 TEST_CASE("move deadlines must be in the future", "[text]") {
   const auto deadline =
-      compileConfiguration(Good)->service("client-desk")->Move->Deadline;
+      compileConfiguration(ValidText)->service("client-desk")->Move->Deadline;
   const auto before = deadline - std::chrono::milliseconds(1);
-  CHECK(compileConfiguration(Good, before).hasValue());
-  CHECK(checkDeadlines(*compileConfiguration(Good), before).hasValue());
-  CHECK_FALSE(checkDeadlines(*compileConfiguration(Good), deadline).hasValue());
-  const auto late = compileConfiguration(Good, deadline);
+  CHECK(compileConfiguration(ValidText, before).hasValue());
+  CHECK(checkDeadlines(*compileConfiguration(ValidText), before).hasValue());
+  CHECK_FALSE(
+      checkDeadlines(*compileConfiguration(ValidText), deadline).hasValue());
+  const auto late = compileConfiguration(ValidText, deadline);
   REQUIRE_FALSE(late.hasValue());
   CHECK(late.reason().Line == 29);
   CHECK(late.reason().Column == 12);
 }
 
-// Guards against a change that does not lead to the configuration that the
-// operator asked for.
+// Guards against a change that does not produce the configuration that the
+// operator requested.
 TEST_CASE("applying a difference gives the target", "[text]") {
   const Configuration empty;
-  const auto from = *compileConfiguration(Good);
-  auto text = chain(3);
+  const auto from = *compileConfiguration(ValidText);
+  auto text = dependencyChainText(3);
   const auto to = *compileConfiguration(
       text + "[service.client-desk]\nversions = ['v1']\ncurrent = 'v1'\n");
   for (const auto *a : {&empty, &from, &to}) {
@@ -254,7 +257,8 @@
                  Catch::Contains("move to v2 by 2026-12-04T16:00:00Z"));
 }
 
-// Guards against a request that gets the kind or timeout of another route.
+// Guards against selecting the wrong route, which would give a request the kind
+// and timeout of another one.
 TEST_CASE("routes match whole segments, longest first", "[text]") {
   Service s;
   s.Routes = {{"GET", "/", "root"},
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -15,29 +15,30 @@
 
 } // namespace
 
-// Guards against burn rates that keep counting calls older than their window.
-TEST_CASE("burn rates forget what is older than their window", "[metrics]") {
+// Guards against burn rates that include calls older than their window.
+TEST_CASE("burn rates exclude calls older than their window", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   metrics.setObjective("desk", "book", 0.9);
   for (int n = 0; n < 100; ++n) {
     metrics.record(at(1000 + n), sample("book", n >= 20));
   }
   const auto first = metrics.report(at(1100)).Series.at(0);
-  CHECK(first.BurnShort == Approx(2));
-  CHECK(first.BurnLong == Approx(2));
-  CHECK(first.BudgetSpent == Approx(2));
+  CHECK(first.ShortBurnRate == Approx(2));
+  CHECK(first.LongBurnRate == Approx(2));
+  CHECK(first.ErrorBudgetSpent == Approx(2));
   CHECK(first.WorthOffered == 300);
   CHECK(first.WorthServed == 240);
   CHECK(first.LatencyMeanMs == Approx(28));
   CHECK(first.LatencyQuantilesMs[0] == Approx(10).margin(5));
   const auto later = metrics.report(at(1500)).Series.at(0);
-  CHECK(later.BurnShort == 0);
-  CHECK(later.BurnLong == Approx(2));
-  CHECK(metrics.report(at(6000)).Series.at(0).BurnLong == 0);
+  CHECK(later.ShortBurnRate == 0);
+  CHECK(later.LongBurnRate == Approx(2));
+  CHECK(metrics.report(at(6000)).Series.at(0).LongBurnRate == 0);
 }
 
-// Guards against memory that grows with the number of kinds.
-TEST_CASE("series are bounded and the rest is counted", "[metrics]") {
+// Guards against memory usage that grows with the number of request kinds.
+TEST_CASE("calls beyond the series limit are counted in one series",
+          "[metrics]") {
   Metrics metrics{MetricsSettings()};
   for (int n = 0; n < 3000; ++n) {
     metrics.record(at(1), sample("kind" + std::to_string(n), true));
@@ -49,8 +50,8 @@
         3000 - (MetricsSettings::MaxSeries - 1));
 }
 
-// Guards against the laxer of two objectives of one kind, and against
-// objectives that stay after a configuration dropped them.
+// Guards against applying the lower of two objectives of one kind, and against
+// keeping objectives that the configuration no longer contains.
 TEST_CASE("objectives follow the configuration", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   Configuration config;
@@ -63,7 +64,7 @@
   CHECK(metrics.report(at(1)).Series.at(0).Objective == 0.999);
 }
 
-// Guards against calls that fall between latency buckets or outside of them.
+// Guards against calls that are counted in no latency bucket or in a wrong one.
 TEST_CASE("each call is in the bucket of its latency", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   const std::chrono::microseconds latencies[] = {{},
@@ -79,7 +80,7 @@
   CHECK(buckets.back() == 1);
 }
 
-// Guards against names that break the exported formats.
+// Guards against invalid output for names with quotes or invalid UTF-8.
 TEST_CASE("exports escape names", "[metrics]") {
   Metrics metrics{MetricsSettings()};
   metrics.record(at(1), sample("a\"b\xff", true));
