--- a/src/core/move_controller.cpp
+++ b/src/core/move_controller.cpp
@@ -109,10 +109,10 @@
     return "the new version is worse than the old one";
   }
   if (utcNow >= view.Deadline) {
-    return "the deadline passed before the move was complete";
+    return "the deadline passed before the move was done";
   }
   if (NoServerSince && now - *NoServerSince >= Settings.NoServerTimeout) {
-    return "no server of the new version is available";
+    return "no server of the new version can take work";
   }
   return {};
 }
@@ -172,7 +172,7 @@
   if (remainingSteps(view.ShareBasisPoints) == 0) {
     if (tryEmit(ActionKind::End, now)) {
       actions.emplace_back(AppendEnd{view.CurrentEpoch, MoveResult::Done,
-                                     "observed at the full share",
+                                     "watched at the full share",
                                      Test.assess().Evidence});
     }
   } else if (tryEmit(ActionKind::Step, now)) {
@@ -193,7 +193,7 @@
     return "the renewal of the lease is not confirmed";
   }
   if (view.AbleServers == 0) {
-    return "no server of the new version is available";
+    return "no server of the new version can take work";
   }
   if (view.ShareBasisPoints == 0) {
     return {};
