--- a/include/chivefold/sidecar/ports.h
+++ b/include/chivefold/sidecar/ports.h
@@ -85,10 +85,10 @@
   virtual ~ReportCodec() = default;
   virtual AdminRequestKind requestKind(const HttpRequest &request) const = 0;
   /** @return the report, or InvalidRecord if a field is missing or invalid.
-   * Precondition: callOf() returned Report. */
+   * Precondition: requestKind() returned Report. */
   virtual Result<ServerReport> report(const HttpRequest &request) const = 0;
   /** @return the ID of the server instance that shuts down. Precondition:
-   * callOf() returned Leave. */
+   * requestKind() returned Leave. */
   virtual std::string leaving(const HttpRequest &request) const = 0;
 };
 
